--- a/features/record_store.feature
+++ b/features/record_store.feature
@@ -51,6 +51,20 @@
     And with "c" to be emptied the group becomes "a1,b1,d1"
     And with "c" on a new disk the group becomes "a1,b1,c2"
 
+  Scenario Outline: A retirement leaves a common group the copies that bear a loss
+    Given a group of "<members>" whose wanted size is <size>, with "<free>" registered besides
+    Then with "<retiring>" to be emptied and "<silent>" silent its next members are "<next>"
+
+    Examples:
+      | members  | size | free | retiring | silent | next     |
+      | a1,b1    | 3    |      | b        |        | a1,b1    |
+      | a1,b1    | 3    |      | a,b      |        | a1,b1    |
+      | a1,b1    | 3    | c1   | b        |        | a1,c1    |
+      | a1,b1,c1 | 3    |      | c        |        | a1,b1    |
+      | a1,b1,c1 | 3    |      | b,c      |        | a1,b1    |
+      | a1,b1,c1 | 3    |      | c        | b      | a1,b1,c1 |
+      | a1,b1,c1 | 5    |      | c        |        | a1,b1,c1 |
+
   Scenario: A group of two takes a lost disk back as an empty one
     Given a group of "a1" and "b1" with nobody registered besides
     Then with "a" on a new disk the group becomes "a2,b1"
--- a/features/steps/record_steps.py
+++ b/features/steps/record_steps.py
@@ -24,7 +24,7 @@
 from yarrowwall.replication.planner import next_view
 from yarrowwall.replication.replica import RecordReplica
 from yarrowwall.replication.rpc import Link, serve_requests
-from yarrowwall.replication.views import is_read, is_written
+from yarrowwall.replication.views import disk_ids, is_read, is_written
 from yarrowwall.storage.segments import SegmentStore
 
 
@@ -203,6 +203,27 @@
     return None if found is None else ",".join(sorted(m.disk_id for m in found.joining))
 
 
+@given('a group of "{members}" whose wanted size is {size:d}, with "{free}" registered besides')
+@given('a group of "{members}" whose wanted size is {size:d}, with "" registered besides')
+def group_of_size(context: Context, members: str, size: int, free: str = "") -> None:
+    own = [member(disk_id) for disk_id in members.split(",")]
+    others = [member(free)] if free else []
+    context.view = GroupView(0, 3, own, [])
+    context.registered = {one.node_id: one for one in own + others}
+    context.size = size
+
+
+@then('with "{retiring}" to be emptied and "{silent}" silent its next members are "{members}"')
+@then('with "{retiring}" to be emptied and "" silent its next members are "{members}"')
+def retirement_leaves(context: Context, retiring: str, members: str, silent: str = "") -> None:
+    alive = set(context.registered) - {silent}
+    busy = set(disk_ids(context.view.members))
+    leaving = set(retiring.split(","))
+    found = next_view(context.view, context.registered, alive, leaving, busy, context.size)
+    disks = disk_ids(found.joining if found is not None else context.view.members)
+    assert ",".join(sorted(disks)) == members, disks
+
+
 @then('with "{name}" silent the group becomes "{members}"')
 def silent_replaced(context: Context, name: str, members: str) -> None:
     assert _next(context, silent=name) == members
--- a/yarrowwall/replication/planner.py
+++ b/yarrowwall/replication/planner.py
@@ -6,7 +6,13 @@
 from yarrowwall.core.quorum import majority
 from yarrowwall.messages.replicated import GroupView, Member, StatusReply
 from yarrowwall.replication.replica import RecordReplica
-from yarrowwall.replication.views import ZONE_GROUPS_FROM, disk_ids, member_of, read_quorum
+from yarrowwall.replication.views import (
+    ZONE_GROUPS_FROM,
+    disk_ids,
+    is_zone_group,
+    member_of,
+    read_quorum,
+)
 
 #: Replicas that a zone needs for a group of its own: a single disk would bear no loss.
 LEAST_ZONE_REPLICAS = 2
@@ -95,11 +101,13 @@
         best = _best_candidate(candidates, joining)
         candidates.remove(best)
         joining.append(best)
-    missing = [member for member in view.members if member not in sound]
-    # Without a substitute, a silent member stays: it may come back with its disk. One
-    # that is to be emptied goes all the same.
-    for member in missing:
-        is_wanted = member.node_id not in retiring and not _has_other_disk(member, registered)
+    # Without a substitute, a member that is to be emptied stays as long as the group needs it.
+    emptied = [member for member in holding if member.node_id in retiring]
+    joining += emptied[: max(0, _fewest_copies(view.group, size) - len(joining))]
+    # So does a silent one: it may come back with its disk.
+    for member in view.members:
+        is_silent = member not in holding and member.node_id not in retiring
+        is_wanted = is_silent and not _has_other_disk(member, registered)
         if is_wanted and len(joining) < len(view.members):
             joining.append(member)
     if not joining or set(disk_ids(joining)) == set(disk_ids(view.members)):
@@ -107,6 +115,15 @@
     return GroupView(view.group, view.epoch + 1, view.members, joining)
 
 
+def _fewest_copies(group: int, size: int) -> int:
+    """Return how many copies a retirement has to leave.
+
+    A common group keeps one more than disks may be lost at once. A zone's group may be emptied
+    altogether, and ends then.
+    """
+    return 0 if is_zone_group(group) else majority(size)
+
+
 def _has_other_disk(member: Member, registered: dict[str, Member]) -> bool:
     newest = registered.get(member.node_id)
     return newest is not None and newest.disk_id != member.disk_id
