--- a/features/steps/machine_steps.py
+++ b/features/steps/machine_steps.py
@@ -58,7 +58,7 @@
 @given("a turn of a program with {seconds} s left on a route of priority {priority:d}")
 def turn_with(context: Context, seconds: str, priority: int) -> None:
     finish_at = None if seconds == "untold" else 100.0 + float(seconds)
-    program = ProgramContext("p", "l", None, 10, None, finish_at)
+    program = ProgramContext("p", None, 10, None, finish_at)
     context.attempt = Attempt("a", "POST", "/", "h", [], b"", 100.0, 103.0, program)
     context.attempt.priority = priority
 
--- a/features/steps/placement_steps.py
+++ b/features/steps/placement_steps.py
@@ -32,7 +32,7 @@
 def directory(names: list[str], places: int) -> ServerDirectory:
     """Return what one gateway knows of engines."""
     found = ServerDirectory("zone-a")
-    services = {SERVICE: Service(SERVICE, 100, EngineTraits(places, 500_000, 23))}
+    services = {SERVICE: Service(SERVICE, EngineTraits(places, 500_000, 23))}
     servers = [Server(name, SERVICE, "127.0.0.1:1", "zone-a", places, False) for name in names]
     found.replace_all(servers, services, NOW)
     return found
@@ -56,7 +56,7 @@
 
 @given('an engine "{name}" with {places:d} places in another zone')
 def engine_elsewhere(context: Context, name: str, places: int) -> None:
-    services = {SERVICE: Service(SERVICE, 100, EngineTraits(places, 500_000, 23))}
+    services = {SERVICE: Service(SERVICE, EngineTraits(places, 500_000, 23))}
     server = Server(name, SERVICE, "127.0.0.1:1", "zone-b", places, False)
     context.engines.put(server, services, NOW)
 
@@ -199,7 +199,7 @@
     context.engines = ServerDirectory("zone-a")
     server = Server(name, SERVICE, "127.0.0.1:1", "zone-a", 6, False)
     context.engines.replace_all([server], {}, NOW)
-    context.services = {SERVICE: Service(SERVICE, 100, EngineTraits(6, tokens, 23))}
+    context.services = {SERVICE: Service(SERVICE, EngineTraits(6, tokens, 23))}
 
 
 @when("the configuration comes")
--- a/features/steps/server_entry_steps.py
+++ b/features/steps/server_entry_steps.py
@@ -55,7 +55,7 @@
 
 def _begin(context: Context, *items: StoredObject) -> None:
     context.noted = []
-    context.services = {"records": Service("records", 10, None)}
+    context.services = {"records": Service("records", None)}
     context.directory = ServerDirectory("a")
     context.servers = ServerList(
         PlatformDocuments(lambda: NOW_S),
@@ -129,7 +129,7 @@
 
 @then('"{name}" is chosen once a configuration has its service')
 def chosen_later(context: Context, name: str) -> None:
-    context.services = {**context.services, "later": Service("later", 10, None)}
+    context.services = {**context.services, "later": Service("later", None)}
     choice = context.directory.choose("later", (), NOW_S, NEVER)
     assert choice is not None
     assert choice.server.server_id == name
--- a/features/steps/server_life_steps.py
+++ b/features/steps/server_life_steps.py
@@ -25,7 +25,7 @@
 from yarrowwall.relay.servers import NEW_TOKENS, ServerDirectory, Wish
 
 NOW_S = 100.0
-SERVICES = {"models": Service("models", 100, EngineTraits(16, 500_000, 10))}
+SERVICES = {"models": Service("models", EngineTraits(16, 500_000, 10))}
 PROMPT = (PromptPart("shared", 2_000), PromptPart("own", 3_000))
 #: Seconds after which a server that vanished is forgotten.
 FORGOTTEN_S = 5.0
--- a/features/steps/spent_budget_steps.py
+++ b/features/steps/spent_budget_steps.py
@@ -95,7 +95,7 @@
 def _turn(context: Context) -> str:
     """Run a turn and return what became of it."""
     context.turns += 1
-    program = ProgramContext("looper", "", context.budget, MOST_TOKENS, None, None)
+    program = ProgramContext("looper", context.budget, MOST_TOKENS, None, None)
     attempt = f"attempt-{context.turns:03}"
     wanted = wanted_by("looper", program, attempt, RETENTION_SECONDS, COMMON)
     try:
--- a/yarrowwall/cli/failures.py
+++ b/yarrowwall/cli/failures.py
@@ -15,7 +15,6 @@
 
 _ENDS = {"AttemptAnswered", "AttemptRefused", "AnswerBrokenOff", "CallerLeft"}
 _BUDGET_SPENT = 402
-_TURN_UNKNOWN = 404
 _SERVER_ERROR = 500
 
 
--- a/yarrowwall/cli/main.py
+++ b/yarrowwall/cli/main.py
@@ -5,16 +5,12 @@
 
 import click
 
-from yarrowwall.cli.bench import bench
 from yarrowwall.cli.demo import demo
 from yarrowwall.cli.experiment import experiment
 from yarrowwall.cli.explain import explain
 from yarrowwall.cli.failures import failures
-from yarrowwall.cli.journal_cost import journal_cost
 from yarrowwall.cli.node import check_settings, journal_init, node
 from yarrowwall.cli.operator import intent, plan, replica, status
-from yarrowwall.cli.placement_cost import placement_cost
-from yarrowwall.cli.quota_experiment import quota_experiment
 from yarrowwall.cli.simulate import simulate
 from yarrowwall.cli.stale import stale
 from yarrowwall.cli.standin import standin
@@ -38,10 +34,6 @@
     replica,
     simulate,
     experiment,
-    quota_experiment,
-    bench,
-    placement_cost,
-    journal_cost,
     explain,
     failures,
     stale,
--- a/yarrowwall/cli/operator.py
+++ b/yarrowwall/cli/operator.py
@@ -10,7 +10,6 @@
 import urllib3
 from urllib3.exceptions import HTTPError
 
-EXIT_REFUSED = 1
 _TIMEOUT_SECONDS = 30.0
 
 
--- a/yarrowwall/platform/callers.py
+++ b/yarrowwall/platform/callers.py
@@ -127,7 +127,6 @@
     try:
         return ProgramContext(
             program_id,
-            values.get(names.SESSION.lower(), program_id),
             int(budget) if budget is not None else None,
             int(most) if most else 0,
             values.get(names.PREVIOUS_TURN.lower()) or None,
--- a/yarrowwall/platform/documents.py
+++ b/yarrowwall/platform/documents.py
@@ -87,7 +87,6 @@
         kind=_KINDS.get(spec.get("type", ""), RequestKind.MUTATING),
         shares=tuple(shares),
         timeout=timeout_ms / 1000.0,
-        objective=float(spec.get("slo_ms") or timeout_ms) / 1000.0,
         attempts=max(1, int(spec.get("attempts") or 1)),
         priority=int(spec.get("priority") or 0),
         is_stateful=bool(spec.get("stateful")),
@@ -143,7 +142,7 @@
             int(engine.get("kv_capacity") or 0),
             int(engine.get("chunk_tokens") or 1),
         )
-    return Service(spec["name"], int(spec.get("max_conns") or 100), traits)
+    return Service(spec["name"], traits)
 
 
 def _limits(spec: dict[str, Any]) -> CallerLimits:
--- a/yarrowwall/quotas/credits.py
+++ b/yarrowwall/quotas/credits.py
@@ -9,8 +9,8 @@
 from yarrowwall.replication.rpc import LinkTable
 
 #: Requests asked for at once where another one of the tenant is likely to follow, and the seconds
-#: since its last question within which it is: 1.4 messages a request instead of 2.3, with as
-#: much refused (yarrowwall quota-experiment, 57 gateways).
+#: since its last question within which it is. Asking for two saves messages; more would hold
+#: credits that other gateways could use.
 PAIR = 2
 FREQUENT_SECONDS = 0.3
 #: Seconds that a credit must have left to be used for another request: what that takes from its
