--- a/Makefile
+++ b/Makefile
@@ -21,7 +21,7 @@
 lint: $(STAMP)
 	$(BIN)/ruff format --check yarrowwall features
 	$(BIN)/ruff check yarrowwall features
-	$(BIN)/mypy yarrowwall/capacity yarrowwall/core yarrowwall/messages yarrowwall/readers yarrowwall/relay yarrowwall/quotas yarrowwall/replication yarrowwall/platform yarrowwall/storage
+	$(BIN)/mypy yarrowwall/*.py yarrowwall/capacity yarrowwall/standalone/core yarrowwall/messages yarrowwall/readers yarrowwall/relay yarrowwall/quotas yarrowwall/replication yarrowwall/platform yarrowwall/storage
 
 schemas: $(STAMP)
 	$(BIN)/python -m yarrowwall.messages.generate
--- a/features/steps/journal_steps.py
+++ b/features/steps/journal_steps.py
@@ -8,16 +8,6 @@
 
 from features.support.journal_model import NAMES, JournalSchedule, run_schedules
 from features.support.mutants import applied
-from yarrowwall.core.configuration.models import SHARD_MAP
-from yarrowwall.core.effects import PersistThenSend
-from yarrowwall.core.exceptions import InvariantError
-from yarrowwall.core.journal.proposer import ProgramLog
-from yarrowwall.core.journal.reconfiguration import LogCopier
-from yarrowwall.core.journal.replica import JournalReplica
-from yarrowwall.core.journal.service import JournalService
-from yarrowwall.core.limits import Limits
-from yarrowwall.core.outbox import Outbox
-from yarrowwall.core.program.journaled import JournaledProgram
 from yarrowwall.messages.codec import encode
 from yarrowwall.messages.entries import EndReason, ProgramEnded, ProgramOpened
 from yarrowwall.messages.journal import (
@@ -30,6 +20,16 @@
 )
 from yarrowwall.messages.peers import Document
 from yarrowwall.messages.records import BallotPromised
+from yarrowwall.standalone.core.configuration.models import SHARD_MAP
+from yarrowwall.standalone.core.effects import PersistThenSend
+from yarrowwall.standalone.core.exceptions import InvariantError
+from yarrowwall.standalone.core.journal.proposer import ProgramLog
+from yarrowwall.standalone.core.journal.reconfiguration import LogCopier
+from yarrowwall.standalone.core.journal.replica import JournalReplica
+from yarrowwall.standalone.core.journal.service import JournalService
+from yarrowwall.standalone.core.limits import Limits
+from yarrowwall.standalone.core.outbox import Outbox
+from yarrowwall.standalone.core.program.journaled import JournaledProgram
 from yarrowwall.storage.exceptions import CorruptSegmentError
 from yarrowwall.storage.segments import SegmentStore
 
--- a/features/steps/owner_steps.py
+++ b/features/steps/owner_steps.py
@@ -4,9 +4,18 @@
 from behave.runner import Context
 
 from features.support.journal_model import JournalSchedule
-from yarrowwall.core.configuration.commands import OperatorOutcome, ShowPlan
-from yarrowwall.core.configuration.models import ShardMap, ShardReplica
-from yarrowwall.core.effects import (
+from yarrowwall.messages.entries import EndReason, Priority
+from yarrowwall.messages.journal import Append, Ballot
+from yarrowwall.messages.requests import (
+    EndProgram,
+    OpenProgram,
+    ProgramReply,
+    ReserveChildBudget,
+    SettleChildBudget,
+)
+from yarrowwall.standalone.core.configuration.commands import OperatorOutcome, ShowPlan
+from yarrowwall.standalone.core.configuration.models import ShardMap, ShardReplica
+from yarrowwall.standalone.core.effects import (
     Drained,
     ReadPlatform,
     ReplyToLookup,
@@ -14,7 +23,7 @@
     SendToPeer,
     StreamRoute,
 )
-from yarrowwall.core.events import (
+from yarrowwall.standalone.core.events import (
     DrainRequested,
     LookupRequested,
     NodeStarted,
@@ -22,24 +31,15 @@
     PlatformRead,
     TimeAdvanced,
 )
-from yarrowwall.core.journal.replica import JournalReplica
-from yarrowwall.core.limits import Limits
-from yarrowwall.core.node import NodeCore, NodeSettings
-from yarrowwall.core.outbox import Outbox
-from yarrowwall.core.program.owner import ProgramOwner
-from yarrowwall.core.program.requests import OwnerContext
-from yarrowwall.core.scheduling.engines import EngineProfile
-from yarrowwall.core.scheduling.policies import CostWeights, make_policy
-from yarrowwall.core.scheduling.scheduler import SchedulerSettings
-from yarrowwall.messages.entries import EndReason, Priority
-from yarrowwall.messages.journal import Append, Ballot
-from yarrowwall.messages.requests import (
-    EndProgram,
-    OpenProgram,
-    ProgramReply,
-    ReserveChildBudget,
-    SettleChildBudget,
-)
+from yarrowwall.standalone.core.journal.replica import JournalReplica
+from yarrowwall.standalone.core.limits import Limits
+from yarrowwall.standalone.core.node import NodeCore, NodeSettings
+from yarrowwall.standalone.core.outbox import Outbox
+from yarrowwall.standalone.core.program.owner import ProgramOwner
+from yarrowwall.standalone.core.program.requests import OwnerContext
+from yarrowwall.standalone.core.scheduling.engines import EngineProfile
+from yarrowwall.standalone.core.scheduling.policies import CostWeights, make_policy
+from yarrowwall.standalone.core.scheduling.scheduler import SchedulerSettings
 
 
 def deliver_journal_messages(context: Context) -> None:
--- a/features/steps/promise_steps.py
+++ b/features/steps/promise_steps.py
@@ -13,16 +13,16 @@
 
 from features.support.mutants import MUTANTS
 from features.support.schedules import derandomized
-from yarrowwall.core.configuration.documents import DocumentTable
-from yarrowwall.core.configuration.models import CONFIGURATION
-from yarrowwall.core.exceptions import CoreError
-from yarrowwall.core.journal.proposer import ReplicaGroups
-from yarrowwall.core.outbox import Outbox
 from yarrowwall.messages.peers import Document
-from yarrowwall.simulation.deployments import DEPLOYMENTS, KINGSTON
-from yarrowwall.simulation.faults import Fault, FaultKind
-from yarrowwall.simulation.observer import Promise
-from yarrowwall.simulation.world import RunSettings, World
+from yarrowwall.standalone.core.configuration.documents import DocumentTable
+from yarrowwall.standalone.core.configuration.models import CONFIGURATION
+from yarrowwall.standalone.core.exceptions import CoreError
+from yarrowwall.standalone.core.journal.proposer import ReplicaGroups
+from yarrowwall.standalone.core.outbox import Outbox
+from yarrowwall.standalone.simulation.deployments import DEPLOYMENTS, KINGSTON
+from yarrowwall.standalone.simulation.faults import Fault, FaultKind
+from yarrowwall.standalone.simulation.observer import Promise
+from yarrowwall.standalone.simulation.world import RunSettings, World
 
 #: Seeds tried, for both deployments, until a mutant is caught.
 MUTANT_SEEDS = 16
--- a/features/support/journal_model.py
+++ b/features/support/journal_model.py
@@ -9,15 +9,7 @@
 from hypothesis import strategies as st
 
 from features.support.schedules import derandomized
-from yarrowwall.core.hashing import digest
-from yarrowwall.core.journal.proposer import (
-    ProgramLog,
-    ProposerPhase,
-    ReplicaAddress,
-    ReplicaGroups,
-    ReplicaMessage,
-)
-from yarrowwall.core.journal.replica import JournalReplica
+from yarrowwall.hashing import digest
 from yarrowwall.messages.journal import (
     Append,
     Appended,
@@ -27,6 +19,14 @@
     Promise,
     ReplicaBehind,
 )
+from yarrowwall.standalone.core.journal.proposer import (
+    ProgramLog,
+    ProposerPhase,
+    ReplicaAddress,
+    ReplicaGroups,
+    ReplicaMessage,
+)
+from yarrowwall.standalone.core.journal.replica import JournalReplica
 
 NAMES = ("a", "b", "c")
 OWNERS = 3
--- a/features/support/mutants.py
+++ b/features/support/mutants.py
@@ -10,23 +10,23 @@
 from typing import Any
 from unittest.mock import patch
 
-import yarrowwall.core.journal.proposer as proposer_module
-import yarrowwall.core.scheduling.engines as engines_module
-from yarrowwall.core.configuration.controller import Controller
-from yarrowwall.core.configuration.documents import DocumentTable
-from yarrowwall.core.effects import Drained
-from yarrowwall.core.events import EngineCompleted, EngineFault
-from yarrowwall.core.journal.reconfiguration import LogCopier
-from yarrowwall.core.journal.replica import JournalReplica, ReplicaLog
-from yarrowwall.core.node import NodeCore
-from yarrowwall.core.program.journaled import JournaledProgram
-from yarrowwall.core.program.owner import ProgramOwner
-from yarrowwall.core.program.state import ProgramState
-from yarrowwall.core.scheduling.engines import EngineView
+import yarrowwall.standalone.core.journal.proposer as proposer_module
+import yarrowwall.standalone.core.scheduling.engines as engines_module
 from yarrowwall.messages.requests import ErrorReply
-from yarrowwall.models.engine import EngineModel
-from yarrowwall.simulation.faults import FaultKind
-from yarrowwall.simulation.observer import Promise
+from yarrowwall.standalone.core.configuration.controller import Controller
+from yarrowwall.standalone.core.configuration.documents import DocumentTable
+from yarrowwall.standalone.core.effects import Drained
+from yarrowwall.standalone.core.events import EngineCompleted, EngineFault
+from yarrowwall.standalone.core.journal.reconfiguration import LogCopier
+from yarrowwall.standalone.core.journal.replica import JournalReplica, ReplicaLog
+from yarrowwall.standalone.core.node import NodeCore
+from yarrowwall.standalone.core.program.journaled import JournaledProgram
+from yarrowwall.standalone.core.program.owner import ProgramOwner
+from yarrowwall.standalone.core.program.state import ProgramState
+from yarrowwall.standalone.core.scheduling.engines import EngineView
+from yarrowwall.standalone.models.engine import EngineModel
+from yarrowwall.standalone.simulation.faults import FaultKind
+from yarrowwall.standalone.simulation.observer import Promise
 
 #: Two nodes that each take themselves for the owner.
 SPLITS = (FaultKind.FREEZE, FaultKind.ZONE_CUT, FaultKind.ONE_WAY_CUT, FaultKind.MESSAGE_FAULTS)
--- a/features/support/quota_model.py
+++ b/features/support/quota_model.py
@@ -11,7 +11,6 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from yarrowwall.core.quorum import majority
 from yarrowwall.messages.quotas import (
     LendingBegun,
     QuotaLent,
@@ -21,6 +20,7 @@
     TenantLimit,
 )
 from yarrowwall.messages.replicated import GroupView, Member
+from yarrowwall.quorum import majority
 from yarrowwall.quotas import terms as quota_terms
 from yarrowwall.quotas.entitlement import Entitlement, Voucher
 from yarrowwall.quotas.lender import Clock, Lender
--- a/features/support/zone_groups_mutants.py
+++ b/features/support/zone_groups_mutants.py
@@ -3,8 +3,8 @@
 from unittest.mock import patch
 
 from features.support.record_mutants import MUTANTS as RECORD_MUTANTS
-from yarrowwall.core.quorum import majority
 from yarrowwall.messages.replicated import GroupView, Member
+from yarrowwall.quorum import majority
 from yarrowwall.replication import planner, views
 
 
--- a/yarrowwall/capacity/admission.py
+++ b/yarrowwall/capacity/admission.py
@@ -10,7 +10,7 @@
 from yarrowwall.capacity.returns import Ahead, ReturnOrder, Standing
 from yarrowwall.capacity.room import Forecast, UnderWay, forecast, free_places
 from yarrowwall.capacity.shares import TenantShares
-from yarrowwall.core.hashing import fraction_of
+from yarrowwall.hashing import fraction_of
 from yarrowwall.messages.capacity import AskRoom, RoomReply, Scarce
 
 #: Seconds from an admission until its first turn is in the sums that others are told.
--- a/yarrowwall/cli/demo.py
+++ b/yarrowwall/cli/demo.py
@@ -63,7 +63,7 @@
     """Run platform, engines, record servers and three nodes; show the whole path."""
     import eventlet
 
-    from yarrowwall.standins.local_cluster import LocalCluster
+    from yarrowwall.standalone.standins.local_cluster import LocalCluster
 
     with tempfile.TemporaryDirectory() as folder:
         cluster = LocalCluster(Path(folder), (MODEL,), ENGINE_SPEED)
--- a/yarrowwall/cli/experiment.py
+++ b/yarrowwall/cli/experiment.py
@@ -9,11 +9,11 @@
 import click
 
 from yarrowwall.cli.simulate import parse_faults, run_once
-from yarrowwall.core.scheduling.policies import POLICY_NAMES
-from yarrowwall.simulation.deployments import DEPLOYMENTS
-from yarrowwall.simulation.lower_bound import lower_bound
-from yarrowwall.simulation.report import RunReport
-from yarrowwall.simulation.world import RunSettings
+from yarrowwall.standalone.core.scheduling.policies import POLICY_NAMES
+from yarrowwall.standalone.simulation.deployments import DEPLOYMENTS
+from yarrowwall.standalone.simulation.lower_bound import lower_bound
+from yarrowwall.standalone.simulation.report import RunReport
+from yarrowwall.standalone.simulation.world import RunSettings
 
 LOWER_BOUND = "lower-bound"
 
--- a/yarrowwall/cli/main.py
+++ b/yarrowwall/cli/main.py
@@ -1,7 +1,7 @@
 """The ``yarrowwall`` command."""
 
 # The runtime patches the standard library for eventlet; nothing may be imported before it.
-import yarrowwall.runtime  # noqa: F401  isort: skip
+import yarrowwall.standalone.runtime  # noqa: F401  isort: skip
 
 import click
 
--- a/yarrowwall/cli/node.py
+++ b/yarrowwall/cli/node.py
@@ -7,11 +7,11 @@
 
 import click
 
-from yarrowwall import logs
 from yarrowwall.exceptions import SettingsError, YarrowwallError
 from yarrowwall.relay.settings import load_machine_settings
-from yarrowwall.settings import NodeFileSettings, load_settings
 from yarrowwall.settings_file import EXIT_BAD_SETTINGS
+from yarrowwall.standalone import logs
+from yarrowwall.standalone.settings import NodeFileSettings, load_settings
 
 _Settings = TypeVar("_Settings")
 _PATH = click.Path(dir_okay=False, path_type=Path)
@@ -37,7 +37,7 @@
     """Run a node until SIGTERM; it then finishes what runs and exits."""
     settings = _load_or_exit(path, _load_node_settings)
     logs.set_up(settings.node_id, settings.zone, settings.log_level)
-    from yarrowwall.runtime.service import run_node
+    from yarrowwall.standalone.runtime.service import run_node
 
     try:
         sys.exit(run_node(settings))
--- a/yarrowwall/cli/simulate.py
+++ b/yarrowwall/cli/simulate.py
@@ -4,11 +4,11 @@
 
 import click
 
-from yarrowwall.core.scheduling.policies import POLICY_NAMES
-from yarrowwall.simulation.deployments import DEPLOYMENTS
-from yarrowwall.simulation.faults import FaultKind
-from yarrowwall.simulation.report import RunReport, make_report
-from yarrowwall.simulation.world import RunSettings, World
+from yarrowwall.standalone.core.scheduling.policies import POLICY_NAMES
+from yarrowwall.standalone.simulation.deployments import DEPLOYMENTS
+from yarrowwall.standalone.simulation.faults import FaultKind
+from yarrowwall.standalone.simulation.report import RunReport, make_report
+from yarrowwall.standalone.simulation.world import RunSettings, World
 
 #: Share of callers that go away, loop or hang in a run with faults.
 ODD_SHARE = 0.15
--- a/yarrowwall/cli/standin.py
+++ b/yarrowwall/cli/standin.py
@@ -8,7 +8,7 @@
 import click
 
 if TYPE_CHECKING:
-    from yarrowwall.standins.web import StandInServer
+    from yarrowwall.standalone.standins.web import StandInServer
 
 _listen_option = click.option(
     "--listen", required=True, help="Address to listen on, 127.0.0.1:PORT; port 0 picks one."
@@ -21,7 +21,7 @@
 
 
 def _listener(address: str) -> socket.socket:
-    from yarrowwall.runtime.service import listen
+    from yarrowwall.standalone.runtime.service import listen
 
     return listen(address)
 
@@ -37,7 +37,7 @@
 def platform(listen: str, objects: Path | None) -> None:
     """The platform's object service."""
     listener = _listener(listen)
-    from yarrowwall.standins.platform import PlatformStandIn
+    from yarrowwall.standalone.standins.platform import PlatformStandIn
 
     stand_in = PlatformStandIn(listener)
     if objects is not None:
@@ -57,8 +57,8 @@
 ) -> None:
     """A model engine."""
     listener = _listener(listen)
-    from yarrowwall.models.engine import EngineParameters
-    from yarrowwall.standins.engine import EngineStandIn
+    from yarrowwall.standalone.models.engine import EngineParameters
+    from yarrowwall.standalone.standins.engine import EngineStandIn
 
     parameters = EngineParameters(max_batch=max_batch, cache_tokens=cache_tokens)
     _serve(EngineStandIn(listener, models, parameters, speed).server)
@@ -70,7 +70,7 @@
 def records(listen: str, seconds: float) -> None:
     """A record server."""
     listener = _listener(listen)
-    from yarrowwall.standins.records import RecordsStandIn
+    from yarrowwall.standalone.standins.records import RecordsStandIn
 
     _serve(RecordsStandIn(listener, seconds).server)
 
@@ -81,6 +81,6 @@
 def tool(listen: str, seconds: float) -> None:
     """A tool service."""
     listener = _listener(listen)
-    from yarrowwall.standins.records import ToolStandIn
+    from yarrowwall.standalone.standins.records import ToolStandIn
 
     _serve(ToolStandIn(listener, seconds).server)
--- a/yarrowwall/quotas/entitlement.py
+++ b/yarrowwall/quotas/entitlement.py
@@ -9,9 +9,9 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from yarrowwall.core.hashing import score
-from yarrowwall.core.quorum import majority
+from yarrowwall.hashing import score
 from yarrowwall.messages.replicated import GroupView
+from yarrowwall.quorum import majority
 from yarrowwall.replication.replica import FIRST_EPOCH
 from yarrowwall.replication.views import Voucher, disk_ids
 
--- a/yarrowwall/quotas/order.py
+++ b/yarrowwall/quotas/order.py
@@ -3,7 +3,7 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
-from yarrowwall.core.hashing import score
+from yarrowwall.hashing import score
 from yarrowwall.messages.replicated import Member
 
 #: Seconds for which a replica that did not answer, or may not lend, is asked last: as long as one
--- a/yarrowwall/readers/order.py
+++ b/yarrowwall/readers/order.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 
 from yarrowwall.backoff import doubled_s
-from yarrowwall.core.hashing import fraction
+from yarrowwall.hashing import fraction
 from yarrowwall.messages.replicated import Member
 
 #: Readers of the own zone that are asked before those of other zones.
--- a/yarrowwall/readers/store.py
+++ b/yarrowwall/readers/store.py
@@ -11,7 +11,7 @@
 import eventlet
 from eventlet.event import Event
 
-from yarrowwall.core.hashing import fraction
+from yarrowwall.hashing import fraction
 from yarrowwall.messages.objects import (
     ListObjects,
     ObjectsReply,
--- a/yarrowwall/relay/freshness_probe.py
+++ b/yarrowwall/relay/freshness_probe.py
@@ -5,7 +5,7 @@
 import eventlet
 
 from yarrowwall.backoff import doubled_s
-from yarrowwall.core.hashing import fraction
+from yarrowwall.hashing import fraction
 from yarrowwall.relay import decisions
 from yarrowwall.relay.decisions import DecisionLog
 from yarrowwall.relay.freshness import Freshness
--- a/yarrowwall/relay/program_rooms.py
+++ b/yarrowwall/relay/program_rooms.py
@@ -6,7 +6,7 @@
 from yarrowwall.capacity.own_share import BELIEVED_SECONDS, OwnShare
 from yarrowwall.capacity.programs import ProgramsUnderWay
 from yarrowwall.capacity.room import ServiceRoom
-from yarrowwall.core.hashing import first_bits, fraction_of
+from yarrowwall.hashing import first_bits, fraction_of
 from yarrowwall.messages.capacity import AskRoom, ReturnRoom, RoomReply, Scarce
 from yarrowwall.relay import decisions
 from yarrowwall.relay.decisions import DecisionLog
--- a/yarrowwall/relay/retry_advice.py
+++ b/yarrowwall/relay/retry_advice.py
@@ -5,7 +5,7 @@
 of its remaining time at most. Whoever is told to come back too early three times is lost.
 """
 
-from yarrowwall.core.hashing import fraction
+from yarrowwall.hashing import fraction
 
 #: Seconds until the return in the first moment of an outage, and what each second that it has
 #: lasted adds: an outage of unknown length is most likely to last as long again, and half of
--- a/yarrowwall/relay/servers.py
+++ b/yarrowwall/relay/servers.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from yarrowwall.backoff import doubled_s
-from yarrowwall.core.hashing import fraction
+from yarrowwall.hashing import fraction
 from yarrowwall.relay.lives import NewestLives
 from yarrowwall.relay.model import PromptPart, Server, ServerLife, Service
 from yarrowwall.relay.prefixes import PrefixBelief, SharedParts
--- a/yarrowwall/relay/watching.py
+++ b/yarrowwall/relay/watching.py
@@ -6,7 +6,7 @@
 import eventlet
 
 from yarrowwall.backoff import doubled_s
-from yarrowwall.core.hashing import fraction
+from yarrowwall.hashing import fraction
 from yarrowwall.relay import decisions
 from yarrowwall.relay.decisions import DecisionLog
 from yarrowwall.relay.object_store import (
--- a/yarrowwall/replication/neighbour_finder.py
+++ b/yarrowwall/replication/neighbour_finder.py
@@ -2,7 +2,7 @@
 
 import eventlet
 
-from yarrowwall.core.hashing import fraction
+from yarrowwall.hashing import fraction
 from yarrowwall.messages.relaying import AskNeighbours, Neighbour, NeighboursReply
 from yarrowwall.replication.exceptions import LinkDownError
 from yarrowwall.replication.group_views import GroupViews
--- a/yarrowwall/replication/neighbours.py
+++ b/yarrowwall/replication/neighbours.py
@@ -2,7 +2,7 @@
 
 from itertools import islice
 
-from yarrowwall.core.hashing import score
+from yarrowwall.hashing import score
 from yarrowwall.messages.relaying import Neighbour
 
 #: Gateways of the own zone that a gateway is told: those that follow it by name, so that each
--- a/yarrowwall/replication/planner.py
+++ b/yarrowwall/replication/planner.py
@@ -3,8 +3,8 @@
 from collections import Counter
 from collections.abc import Collection, Mapping, Sequence
 
-from yarrowwall.core.quorum import majority
 from yarrowwall.messages.replicated import GroupView, Member, StatusReply
+from yarrowwall.quorum import majority
 from yarrowwall.replication.replica import RecordReplica
 from yarrowwall.replication.views import (
     ZONE_GROUPS_FROM,
--- a/yarrowwall/replication/quorum_client.py
+++ b/yarrowwall/replication/quorum_client.py
@@ -7,7 +7,7 @@
 
 import eventlet
 
-from yarrowwall.core.hashing import score
+from yarrowwall.hashing import score
 from yarrowwall.messages.replicated import (
     GroupView,
     InstallView,
--- a/yarrowwall/replication/views.py
+++ b/yarrowwall/replication/views.py
@@ -4,8 +4,8 @@
 from functools import cache
 from typing import NamedTuple
 
-from yarrowwall.core.quorum import majority
 from yarrowwall.messages.replicated import GroupView, Member
+from yarrowwall.quorum import majority
 
 #: Numbers of zone groups begin here; smaller ones are those of common groups. A zone group's
 #: number has this many for each copy that a write in it should have, so that everybody who
--- a/yarrowwall/core/configuration/commands.py
+++ b/yarrowwall/standalone/core/configuration/commands.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from yarrowwall.core.configuration.models import Intents, Plan
+from yarrowwall.standalone.core.configuration.models import Intents, Plan
 
 
 @dataclass(frozen=True)
--- a/yarrowwall/core/configuration/controller.py
+++ b/yarrowwall/standalone/core/configuration/controller.py
@@ -10,23 +10,23 @@
 import json
 from dataclasses import dataclass
 
-from yarrowwall.core.configuration.models import (
+from yarrowwall.messages.peers import Document
+from yarrowwall.standalone.core.configuration.models import (
     CONTROLLER_LEASE,
     Configuration,
     ControllerLease,
 )
-from yarrowwall.core.configuration.transactions import (
+from yarrowwall.standalone.core.configuration.transactions import (
     TransactionOutcome,
     TransactionResult,
     TransactionTable,
 )
-from yarrowwall.core.effects import OrderEngine
-from yarrowwall.core.events import EngineOrdered
-from yarrowwall.core.exceptions import ConfigurationError
-from yarrowwall.core.limits import Limits
-from yarrowwall.core.outbox import Outbox
-from yarrowwall.core.scheduling.types import EngineMachine
-from yarrowwall.messages.peers import Document
+from yarrowwall.standalone.core.effects import OrderEngine
+from yarrowwall.standalone.core.events import EngineOrdered
+from yarrowwall.standalone.core.exceptions import ConfigurationError
+from yarrowwall.standalone.core.limits import Limits
+from yarrowwall.standalone.core.outbox import Outbox
+from yarrowwall.standalone.core.scheduling.types import EngineMachine
 
 #: The lease is renewed this many times a lease length.
 RENEWALS_PER_LEASE = 3
--- a/yarrowwall/core/configuration/documents.py
+++ b/yarrowwall/standalone/core/configuration/documents.py
@@ -9,10 +9,6 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from yarrowwall.core.configuration.models import SPREAD_DOCUMENTS
-from yarrowwall.core.effects import SendToPeer
-from yarrowwall.core.journal.proposer import ReplicaGroups
-from yarrowwall.core.outbox import Outbox
 from yarrowwall.messages.peers import (
     Document,
     DocumentPull,
@@ -23,6 +19,10 @@
     FetchedDocuments,
     StoreDocument,
 )
+from yarrowwall.standalone.core.configuration.models import SPREAD_DOCUMENTS
+from yarrowwall.standalone.core.effects import SendToPeer
+from yarrowwall.standalone.core.journal.proposer import ReplicaGroups
+from yarrowwall.standalone.core.outbox import Outbox
 
 
 @dataclass
--- a/yarrowwall/core/configuration/operator.py
+++ b/yarrowwall/standalone/core/configuration/operator.py
@@ -3,7 +3,8 @@
 import json
 from collections.abc import Callable
 
-from yarrowwall.core.configuration.commands import (
+from yarrowwall.messages.peers import Document
+from yarrowwall.standalone.core.configuration.commands import (
     AmendPlan,
     ApplyIntents,
     ConfirmPlan,
@@ -14,8 +15,8 @@
     ReplaceReplica,
     ShowPlan,
 )
-from yarrowwall.core.configuration.documents import DocumentTable
-from yarrowwall.core.configuration.models import (
+from yarrowwall.standalone.core.configuration.documents import DocumentTable
+from yarrowwall.standalone.core.configuration.models import (
     CONFIGURATION,
     PLAN_PREFIX,
     SHARD_MAP,
@@ -25,22 +26,21 @@
     ShardMap,
     ShardReplica,
 )
-from yarrowwall.core.configuration.plans import (
+from yarrowwall.standalone.core.configuration.plans import (
     confirmed_configuration,
     describe_change,
     make_plan,
     remember,
 )
-from yarrowwall.core.configuration.transactions import (
+from yarrowwall.standalone.core.configuration.transactions import (
     TransactionOutcome,
     TransactionResult,
     TransactionTable,
 )
-from yarrowwall.core.effects import ReplyToOperator
-from yarrowwall.core.exceptions import ConfigurationError, StalePlanError
-from yarrowwall.core.journal.reconfiguration import parse_map, replaced, with_operation
-from yarrowwall.core.outbox import Outbox
-from yarrowwall.messages.peers import Document
+from yarrowwall.standalone.core.effects import ReplyToOperator
+from yarrowwall.standalone.core.exceptions import ConfigurationError, StalePlanError
+from yarrowwall.standalone.core.journal.reconfiguration import parse_map, replaced, with_operation
+from yarrowwall.standalone.core.outbox import Outbox
 
 _NOT_RUN = "the platform does not answer; nothing was changed"
 _UNKNOWN = "the platform did not answer after a write was sent; ask for the plan again"
--- a/yarrowwall/core/configuration/plans.py
+++ b/yarrowwall/standalone/core/configuration/plans.py
@@ -2,7 +2,7 @@
 
 from typing import TypeVar
 
-from yarrowwall.core.configuration.models import (
+from yarrowwall.standalone.core.configuration.models import (
     REMEMBERED_OPERATIONS,
     BudgetIntent,
     Configuration,
--- a/yarrowwall/core/configuration/transactions.py
+++ b/yarrowwall/standalone/core/configuration/transactions.py
@@ -9,12 +9,12 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from yarrowwall.core.effects import ReadPlatform, WritePlatform
-from yarrowwall.core.events import PlatformRead, PlatformWritten, WriteOutcome
-from yarrowwall.core.exceptions import ConfigurationError
-from yarrowwall.core.limits import Limits
-from yarrowwall.core.outbox import Outbox
 from yarrowwall.messages.peers import Document
+from yarrowwall.standalone.core.effects import ReadPlatform, WritePlatform
+from yarrowwall.standalone.core.events import PlatformRead, PlatformWritten, WriteOutcome
+from yarrowwall.standalone.core.exceptions import ConfigurationError
+from yarrowwall.standalone.core.limits import Limits
+from yarrowwall.standalone.core.outbox import Outbox
 
 #: Seconds after which a transaction gives up on the platform.
 TRANSACTION_DEADLINE = 15.0
--- a/yarrowwall/core/effects.py
+++ b/yarrowwall/standalone/core/effects.py
@@ -2,11 +2,11 @@
 
 from dataclasses import dataclass
 
-from yarrowwall.core.configuration.commands import OperatorReply
-from yarrowwall.core.events import AttemptKey, LookupRequested
 from yarrowwall.messages.entries import ChatMessage, Priority
 from yarrowwall.messages.records import Record
 from yarrowwall.messages.requests import Reply
+from yarrowwall.standalone.core.configuration.commands import OperatorReply
+from yarrowwall.standalone.core.events import AttemptKey, LookupRequested
 
 
 @dataclass(frozen=True)
--- a/yarrowwall/core/events.py
+++ b/yarrowwall/standalone/core/events.py
@@ -3,10 +3,10 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from yarrowwall.core.configuration.commands import OperatorCommand
 from yarrowwall.messages.entries import Priority
 from yarrowwall.messages.peers import Document
 from yarrowwall.messages.requests import Request
+from yarrowwall.standalone.core.configuration.commands import OperatorCommand
 
 
 @dataclass(frozen=True)
--- a/yarrowwall/core/gateway.py
+++ b/yarrowwall/standalone/core/gateway.py
@@ -9,10 +9,6 @@
 from dataclasses import dataclass
 
 import yarrowwall.messages.all_messages  # noqa: F401
-from yarrowwall.core.effects import ReplyToCaller, SendToPeer, StreamRoute
-from yarrowwall.core.limits import Limits
-from yarrowwall.core.membership.table import MemberTable
-from yarrowwall.core.outbox import Outbox
 from yarrowwall.messages.codec import decode, encode
 from yarrowwall.messages.peers import ForwardReply, ForwardRequest
 from yarrowwall.messages.requests import (
@@ -21,6 +17,10 @@
     Reply,
     Request,
 )
+from yarrowwall.standalone.core.effects import ReplyToCaller, SendToPeer, StreamRoute
+from yarrowwall.standalone.core.limits import Limits
+from yarrowwall.standalone.core.membership.table import MemberTable
+from yarrowwall.standalone.core.outbox import Outbox
 
 #: A request that was forwarded this often is taken on by the node it reached:
 #: the views differ, and the higher ballot decides.
--- a/yarrowwall/core/journal/placement.py
+++ b/yarrowwall/standalone/core/journal/placement.py
@@ -2,10 +2,10 @@
 
 from collections.abc import Sequence
 
-from yarrowwall.core.configuration.models import ShardMap, ShardReplica
-from yarrowwall.core.hashing import rank, score
-from yarrowwall.core.journal.proposer import ReplicaAddress, ReplicaGroups
-from yarrowwall.core.quorum import REPLICAS_PER_SHARD
+from yarrowwall.hashing import rank, score
+from yarrowwall.quorum import REPLICAS_PER_SHARD
+from yarrowwall.standalone.core.configuration.models import ShardMap, ShardReplica
+from yarrowwall.standalone.core.journal.proposer import ReplicaAddress, ReplicaGroups
 
 #: Programs are spread over this many shards; all programs of one move together.
 SHARDS = 4096
--- a/yarrowwall/core/journal/proposer.py
+++ b/yarrowwall/standalone/core/journal/proposer.py
@@ -10,8 +10,6 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from yarrowwall.core.exceptions import InvariantError
-from yarrowwall.core.quorum import has_quorum
 from yarrowwall.messages.journal import (
     ZERO_BALLOT,
     Append,
@@ -22,6 +20,8 @@
     Promise,
     ReplicaBehind,
 )
+from yarrowwall.quorum import has_quorum
+from yarrowwall.standalone.core.exceptions import InvariantError
 
 
 @dataclass(frozen=True)
--- a/yarrowwall/core/journal/reconfiguration.py
+++ b/yarrowwall/standalone/core/journal/reconfiguration.py
@@ -10,17 +10,20 @@
 import json
 from collections.abc import Callable
 
-from yarrowwall.core.configuration.models import SHARD_MAP, ShardMap, ShardReplica
-from yarrowwall.core.configuration.plans import remember
-from yarrowwall.core.configuration.transactions import TransactionResult, TransactionTable
-from yarrowwall.core.effects import PersistThenSend, SendToPeer
-from yarrowwall.core.exceptions import ConfigurationError
-from yarrowwall.core.journal.placement import all_groups
-from yarrowwall.core.outbox import Outbox
-from yarrowwall.core.quorum import has_quorum
 from yarrowwall.messages.journal import AskCopied, CopyProgram, ProgramCopied, ReplicaCopied
 from yarrowwall.messages.peers import Document
 from yarrowwall.messages.records import DocumentKept
+from yarrowwall.quorum import has_quorum
+from yarrowwall.standalone.core.configuration.models import SHARD_MAP, ShardMap, ShardReplica
+from yarrowwall.standalone.core.configuration.plans import remember
+from yarrowwall.standalone.core.configuration.transactions import (
+    TransactionResult,
+    TransactionTable,
+)
+from yarrowwall.standalone.core.effects import PersistThenSend, SendToPeer
+from yarrowwall.standalone.core.exceptions import ConfigurationError
+from yarrowwall.standalone.core.journal.placement import all_groups
+from yarrowwall.standalone.core.outbox import Outbox
 
 #: Logs one replica asks to be copied at a time.
 COPIES_AT_A_TIME = 100
--- a/yarrowwall/core/journal/replica.py
+++ b/yarrowwall/standalone/core/journal/replica.py
@@ -8,7 +8,6 @@
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
 
-from yarrowwall.core.exceptions import InvariantError
 from yarrowwall.messages.journal import (
     ZERO_BALLOT,
     Append,
@@ -27,6 +26,7 @@
     LogSnapshot,
     Record,
 )
+from yarrowwall.standalone.core.exceptions import InvariantError
 
 JournalAnswer = Promise | Appended | BallotRefused | ReplicaBehind | DocumentStored
 
--- a/yarrowwall/core/journal/service.py
+++ b/yarrowwall/standalone/core/journal/service.py
@@ -1,16 +1,16 @@
 """A node's journal replica: answers requests and finds programs left behind."""
 
 import yarrowwall.messages.all_messages  # noqa: F401
-from yarrowwall.core.effects import PersistThenSend, SendToPeer
-from yarrowwall.core.hashing import fraction
-from yarrowwall.core.journal.replica import JournalReplica, ReplicaResult
-from yarrowwall.core.limits import Limits
-from yarrowwall.core.outbox import Outbox
-from yarrowwall.core.program.state import ProgramState
-from yarrowwall.core.timers import Timers
+from yarrowwall.hashing import fraction
 from yarrowwall.messages.codec import decode
 from yarrowwall.messages.journal import Append, Prepare, ShardMapStale
 from yarrowwall.messages.peers import FetchDocuments, FetchedDocuments, StoreDocument
+from yarrowwall.standalone.core.effects import PersistThenSend, SendToPeer
+from yarrowwall.standalone.core.journal.replica import JournalReplica, ReplicaResult
+from yarrowwall.standalone.core.limits import Limits
+from yarrowwall.standalone.core.outbox import Outbox
+from yarrowwall.standalone.core.program.state import ProgramState
+from yarrowwall.standalone.core.timers import Timers
 
 
 class JournalService:
--- a/yarrowwall/core/lookups.py
+++ b/yarrowwall/standalone/core/lookups.py
@@ -8,11 +8,11 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from yarrowwall.core.configuration.models import Machine
-from yarrowwall.core.effects import ReplyToLookup, SendLookup
-from yarrowwall.core.events import LookupAnswered, LookupRequested
-from yarrowwall.core.outbox import Outbox
 from yarrowwall.messages.entries import Priority
+from yarrowwall.standalone.core.configuration.models import Machine
+from yarrowwall.standalone.core.effects import ReplyToLookup, SendLookup
+from yarrowwall.standalone.core.events import LookupAnswered, LookupRequested
+from yarrowwall.standalone.core.outbox import Outbox
 
 #: Lookups of this node in flight at one server.
 PLACES_PER_SERVER = 16
--- a/yarrowwall/core/machines.py
+++ b/yarrowwall/standalone/core/machines.py
@@ -1,11 +1,11 @@
 """The machines of the platform as a node knows them, and which engines it polls."""
 
-from yarrowwall.core.configuration.models import Machine, MachineList
-from yarrowwall.core.effects import PollEngine
-from yarrowwall.core.lookups import LookupDesk
-from yarrowwall.core.outbox import Outbox
-from yarrowwall.core.scheduling.scheduler import Scheduler
-from yarrowwall.core.scheduling.types import EngineMachine
+from yarrowwall.standalone.core.configuration.models import Machine, MachineList
+from yarrowwall.standalone.core.effects import PollEngine
+from yarrowwall.standalone.core.lookups import LookupDesk
+from yarrowwall.standalone.core.outbox import Outbox
+from yarrowwall.standalone.core.scheduling.scheduler import Scheduler
+from yarrowwall.standalone.core.scheduling.types import EngineMachine
 
 _ENGINE = "engine"
 _LEAVING = "leaving"
--- a/yarrowwall/core/membership/table.py
+++ b/yarrowwall/standalone/core/membership/table.py
@@ -9,9 +9,9 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
 
-from yarrowwall.core.hashing import first, rank
-from yarrowwall.core.identifiers import home_zone
+from yarrowwall.hashing import first, rank
 from yarrowwall.messages.peers import MemberRecord, MemberStatus
+from yarrowwall.standalone.core.identifiers import home_zone
 
 #: Peers of the own zone that one gossip round is sent to.
 GOSSIP_FANOUT = 2
--- a/yarrowwall/core/node.py
+++ b/yarrowwall/standalone/core/node.py
@@ -8,10 +8,39 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from yarrowwall.core.configuration.commands import OperatorOutcome, OperatorReply
-from yarrowwall.core.configuration.controller import RENEWALS_PER_LEASE, Controller
-from yarrowwall.core.configuration.documents import DocumentTable
-from yarrowwall.core.configuration.models import (
+from yarrowwall.hashing import rank
+from yarrowwall.messages.journal import (
+    Append,
+    Appended,
+    AskCopied,
+    BallotRefused,
+    CopyProgram,
+    Prepare,
+    ProgramCopied,
+    Promise,
+    ReplicaBehind,
+    ReplicaCopied,
+    ShardMapStale,
+    SweepProgram,
+)
+from yarrowwall.messages.peers import (
+    Document,
+    DocumentPull,
+    DocumentPush,
+    DocumentStored,
+    FetchDocuments,
+    FetchedDocuments,
+    ForwardReply,
+    ForwardRequest,
+    Gossip,
+    MemberRecord,
+    MemberStatus,
+    StoreDocument,
+)
+from yarrowwall.standalone.core.configuration.commands import OperatorOutcome, OperatorReply
+from yarrowwall.standalone.core.configuration.controller import RENEWALS_PER_LEASE, Controller
+from yarrowwall.standalone.core.configuration.documents import DocumentTable
+from yarrowwall.standalone.core.configuration.models import (
     CONFIGURATION,
     MACHINES,
     SHARD_MAP,
@@ -20,9 +49,9 @@
     MachineList,
     ShardMap,
 )
-from yarrowwall.core.configuration.operator import OperatorDesk, parse_configuration
-from yarrowwall.core.configuration.transactions import TransactionTable
-from yarrowwall.core.effects import (
+from yarrowwall.standalone.core.configuration.operator import OperatorDesk, parse_configuration
+from yarrowwall.standalone.core.configuration.transactions import TransactionTable
+from yarrowwall.standalone.core.effects import (
     Drained,
     Effect,
     ReplyToCaller,
@@ -31,7 +60,7 @@
     StreamRoute,
     WatchPlatform,
 )
-from yarrowwall.core.events import (
+from yarrowwall.standalone.core.events import (
     CacheBlocksChanged,
     CallerGone,
     CallerRequest,
@@ -52,56 +81,27 @@
     PlatformWritten,
     TimeAdvanced,
 )
-from yarrowwall.core.gateway import Gateway
-from yarrowwall.core.hashing import rank
-from yarrowwall.core.identifiers import ballot_holder, node_of
-from yarrowwall.core.journal.placement import document_groups, program_groups
-from yarrowwall.core.journal.proposer import ReplicaGroups
-from yarrowwall.core.journal.reconfiguration import (
+from yarrowwall.standalone.core.gateway import Gateway
+from yarrowwall.standalone.core.identifiers import ballot_holder, node_of
+from yarrowwall.standalone.core.journal.placement import document_groups, program_groups
+from yarrowwall.standalone.core.journal.proposer import ReplicaGroups
+from yarrowwall.standalone.core.journal.reconfiguration import (
     LogCopier,
     MapChangeCoordinator,
     map_version_of,
     parse_map,
 )
-from yarrowwall.core.journal.replica import JournalReplica
-from yarrowwall.core.journal.service import JournalService
-from yarrowwall.core.limits import Limits
-from yarrowwall.core.lookups import LookupDesk
-from yarrowwall.core.machines import MachineTable
-from yarrowwall.core.membership.table import MemberTable
-from yarrowwall.core.outbox import Outbox
-from yarrowwall.core.program.registry import OwnerRegistry
-from yarrowwall.core.scheduling.policies import Policy
-from yarrowwall.core.scheduling.scheduler import Scheduler, SchedulerSettings
-from yarrowwall.core.timers import Timers
-from yarrowwall.messages.journal import (
-    Append,
-    Appended,
-    AskCopied,
-    BallotRefused,
-    CopyProgram,
-    Prepare,
-    ProgramCopied,
-    Promise,
-    ReplicaBehind,
-    ReplicaCopied,
-    ShardMapStale,
-    SweepProgram,
-)
-from yarrowwall.messages.peers import (
-    Document,
-    DocumentPull,
-    DocumentPush,
-    DocumentStored,
-    FetchDocuments,
-    FetchedDocuments,
-    ForwardReply,
-    ForwardRequest,
-    Gossip,
-    MemberRecord,
-    MemberStatus,
-    StoreDocument,
-)
+from yarrowwall.standalone.core.journal.replica import JournalReplica
+from yarrowwall.standalone.core.journal.service import JournalService
+from yarrowwall.standalone.core.limits import Limits
+from yarrowwall.standalone.core.lookups import LookupDesk
+from yarrowwall.standalone.core.machines import MachineTable
+from yarrowwall.standalone.core.membership.table import MemberTable
+from yarrowwall.standalone.core.outbox import Outbox
+from yarrowwall.standalone.core.program.registry import OwnerRegistry
+from yarrowwall.standalone.core.scheduling.policies import Policy
+from yarrowwall.standalone.core.scheduling.scheduler import Scheduler, SchedulerSettings
+from yarrowwall.standalone.core.timers import Timers
 
 #: Nodes of a zone that watch the platform; the rest learn by gossip.
 WATCHERS_PER_ZONE = 2
--- a/yarrowwall/core/outbox.py
+++ b/yarrowwall/standalone/core/outbox.py
@@ -1,9 +1,9 @@
 """Collects the effects of one handler run, in order."""
 
-from yarrowwall.core.effects import Effect, ReplyToCaller, SendToPeer, StreamRoute
 from yarrowwall.messages.codec import encode
 from yarrowwall.messages.peers import ForwardReply
 from yarrowwall.messages.requests import Reply
+from yarrowwall.standalone.core.effects import Effect, ReplyToCaller, SendToPeer, StreamRoute
 
 
 class Outbox:
--- a/yarrowwall/core/program/attempts.py
+++ b/yarrowwall/standalone/core/program/attempts.py
@@ -1,25 +1,5 @@
 """Running a call: placement, dispatch, resuming, and the outcome of attempts."""
 
-from yarrowwall.core.effects import (
-    StartAttempt,
-)
-from yarrowwall.core.events import AttemptKey, EngineCompleted, EngineFailed, EngineFault
-from yarrowwall.core.identifiers import is_single_call
-from yarrowwall.core.program.family import FamilyMember
-from yarrowwall.core.program.prompts import prompt_blocks, request_digest
-from yarrowwall.core.program.requests import (
-    ORDER_PREFIX,
-    QUEUE,
-    RETRY_AFTER,
-    PendingRequest,
-    RunningAttempt,
-)
-from yarrowwall.core.program.state import (
-    CallState,
-    CallStatus,
-    count_message_tokens,
-)
-from yarrowwall.core.scheduling.types import Placement, WaitingCall
 from yarrowwall.messages.entries import (
     AttemptLost,
     AttemptNotRun,
@@ -34,6 +14,26 @@
     ErrorType,
     SubmitCall,
 )
+from yarrowwall.standalone.core.effects import (
+    StartAttempt,
+)
+from yarrowwall.standalone.core.events import AttemptKey, EngineCompleted, EngineFailed, EngineFault
+from yarrowwall.standalone.core.identifiers import is_single_call
+from yarrowwall.standalone.core.program.family import FamilyMember
+from yarrowwall.standalone.core.program.prompts import prompt_blocks, request_digest
+from yarrowwall.standalone.core.program.requests import (
+    ORDER_PREFIX,
+    QUEUE,
+    RETRY_AFTER,
+    PendingRequest,
+    RunningAttempt,
+)
+from yarrowwall.standalone.core.program.state import (
+    CallState,
+    CallStatus,
+    count_message_tokens,
+)
+from yarrowwall.standalone.core.scheduling.types import Placement, WaitingCall
 
 #: Timer key of the next try to resume a broken stream.
 RESUME = "resume"
--- a/yarrowwall/core/program/family.py
+++ b/yarrowwall/standalone/core/program/family.py
@@ -1,15 +1,5 @@
 """Opening and ending a program, and its budget between parent and children."""
 
-from yarrowwall.core.effects import (
-    CancelAttempt,
-)
-from yarrowwall.core.events import AttemptKey, EngineFault
-from yarrowwall.core.program.holds import CacheHolder
-from yarrowwall.core.program.requests import PendingRequest
-from yarrowwall.core.program.state import (
-    CallState,
-    CallStatus,
-)
 from yarrowwall.messages.entries import (
     AttemptLost,
     ChildBudgetReserved,
@@ -30,6 +20,16 @@
     SettleChildBudget,
     SubmitCall,
 )
+from yarrowwall.standalone.core.effects import (
+    CancelAttempt,
+)
+from yarrowwall.standalone.core.events import AttemptKey, EngineFault
+from yarrowwall.standalone.core.program.holds import CacheHolder
+from yarrowwall.standalone.core.program.requests import PendingRequest
+from yarrowwall.standalone.core.program.state import (
+    CallState,
+    CallStatus,
+)
 
 #: Timer key of the next look whether the family is settled.
 SETTLE = "settle"
--- a/yarrowwall/core/program/holds.py
+++ b/yarrowwall/standalone/core/program/holds.py
@@ -1,12 +1,12 @@
 """What engines hold for a program, and its release."""
 
-from yarrowwall.core.effects import (
-    ReleaseCache,
-)
-from yarrowwall.core.program.requests import ProgramRequests
 from yarrowwall.messages.entries import (
     CacheReleased,
 )
+from yarrowwall.standalone.core.effects import (
+    ReleaseCache,
+)
+from yarrowwall.standalone.core.program.requests import ProgramRequests
 
 #: ``through_call`` of a release that ends a program.
 ALL_CALLS = 2**31 - 1
--- a/yarrowwall/core/program/journaled.py
+++ b/yarrowwall/standalone/core/program/journaled.py
@@ -10,17 +10,6 @@
 from dataclasses import dataclass
 
 import yarrowwall.messages.all_messages  # noqa: F401
-from yarrowwall.core.effects import Effect, SendToPeer
-from yarrowwall.core.journal.proposer import (
-    ProgramLog,
-    ProposerPhase,
-    ReplicaGroups,
-    ReplicaMessage,
-)
-from yarrowwall.core.limits import Limits
-from yarrowwall.core.outbox import Outbox
-from yarrowwall.core.program.state import ProgramState
-from yarrowwall.core.timers import Timers
 from yarrowwall.messages.codec import decode, encode
 from yarrowwall.messages.entries import Entry
 from yarrowwall.messages.journal import (
@@ -31,6 +20,17 @@
     Promise,
     ReplicaBehind,
 )
+from yarrowwall.standalone.core.effects import Effect, SendToPeer
+from yarrowwall.standalone.core.journal.proposer import (
+    ProgramLog,
+    ProposerPhase,
+    ReplicaGroups,
+    ReplicaMessage,
+)
+from yarrowwall.standalone.core.limits import Limits
+from yarrowwall.standalone.core.outbox import Outbox
+from yarrowwall.standalone.core.program.state import ProgramState
+from yarrowwall.standalone.core.timers import Timers
 
 #: Timer key of the retransmission of journal messages.
 RETRANSMIT = "retransmit"
--- a/yarrowwall/core/program/owner.py
+++ b/yarrowwall/standalone/core/program/owner.py
@@ -1,19 +1,5 @@
 """The owner of a program: takes its requests and keeps its calls in order."""
 
-from yarrowwall.core.effects import (
-    AttachStream,
-    StreamRoute,
-)
-from yarrowwall.core.program.attempts import RESUME, AttemptRunner
-from yarrowwall.core.program.family import SETTLE
-from yarrowwall.core.program.holds import RELEASE
-from yarrowwall.core.program.journaled import RETRANSMIT
-from yarrowwall.core.program.prompts import request_digest
-from yarrowwall.core.program.requests import ORDER_PREFIX, QUEUE, RETRY_AFTER, PendingRequest
-from yarrowwall.core.program.state import (
-    CallState,
-    CallStatus,
-)
 from yarrowwall.messages.entries import (
     EndReason,
 )
@@ -28,6 +14,25 @@
     SettleChildBudget,
     SubmitCall,
 )
+from yarrowwall.standalone.core.effects import (
+    AttachStream,
+    StreamRoute,
+)
+from yarrowwall.standalone.core.program.attempts import RESUME, AttemptRunner
+from yarrowwall.standalone.core.program.family import SETTLE
+from yarrowwall.standalone.core.program.holds import RELEASE
+from yarrowwall.standalone.core.program.journaled import RETRANSMIT
+from yarrowwall.standalone.core.program.prompts import request_digest
+from yarrowwall.standalone.core.program.requests import (
+    ORDER_PREFIX,
+    QUEUE,
+    RETRY_AFTER,
+    PendingRequest,
+)
+from yarrowwall.standalone.core.program.state import (
+    CallState,
+    CallStatus,
+)
 
 _UNLOAD = "unload"
 _IDLE = "idle"
--- a/yarrowwall/core/program/prompts.py
+++ b/yarrowwall/standalone/core/program/prompts.py
@@ -1,15 +1,15 @@
 """What identifies a request, and the blocks of a prompt."""
 
-from yarrowwall.core.hashing import PrefixBlock, chain, digest
-from yarrowwall.core.program.state import (
-    count_message_tokens,
-)
+from yarrowwall.hashing import PrefixBlock, chain, digest
 from yarrowwall.messages.entries import (
     ChatMessage,
 )
 from yarrowwall.messages.requests import (
     SubmitCall,
 )
+from yarrowwall.standalone.core.program.state import (
+    count_message_tokens,
+)
 
 
 def request_digest(request: SubmitCall) -> str:
--- a/yarrowwall/core/program/registry.py
+++ b/yarrowwall/standalone/core/program/registry.py
@@ -2,22 +2,6 @@
 
 from collections.abc import Callable
 
-from yarrowwall.core.effects import StreamRoute
-from yarrowwall.core.events import (
-    AttemptKey,
-    EngineCompleted,
-    EngineFailed,
-    EngineFault,
-    EngineReleased,
-)
-from yarrowwall.core.journal.proposer import ReplicaGroups
-from yarrowwall.core.limits import Limits
-from yarrowwall.core.outbox import Outbox
-from yarrowwall.core.program.owner import ProgramOwner
-from yarrowwall.core.program.requests import OwnerContext, PendingRequest
-from yarrowwall.core.scheduling.scheduler import Scheduler
-from yarrowwall.core.scheduling.types import Placement
-from yarrowwall.core.timers import Timers
 from yarrowwall.messages.journal import (
     Appended,
     Ballot,
@@ -27,6 +11,22 @@
     ReplicaBehind,
 )
 from yarrowwall.messages.requests import Reply, Request
+from yarrowwall.standalone.core.effects import StreamRoute
+from yarrowwall.standalone.core.events import (
+    AttemptKey,
+    EngineCompleted,
+    EngineFailed,
+    EngineFault,
+    EngineReleased,
+)
+from yarrowwall.standalone.core.journal.proposer import ReplicaGroups
+from yarrowwall.standalone.core.limits import Limits
+from yarrowwall.standalone.core.outbox import Outbox
+from yarrowwall.standalone.core.program.owner import ProgramOwner
+from yarrowwall.standalone.core.program.requests import OwnerContext, PendingRequest
+from yarrowwall.standalone.core.scheduling.scheduler import Scheduler
+from yarrowwall.standalone.core.scheduling.types import Placement
+from yarrowwall.standalone.core.timers import Timers
 
 #: How many lost ballots are remembered; a forgotten one costs a round trip.
 REMEMBERED_BALLOTS = 10_000
--- a/yarrowwall/core/program/requests.py
+++ b/yarrowwall/standalone/core/program/requests.py
@@ -3,18 +3,6 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from yarrowwall.core.effects import (
-    StreamRoute,
-)
-from yarrowwall.core.events import AttemptKey, EngineCompleted, EngineFault
-from yarrowwall.core.journal.proposer import ReplicaGroups
-from yarrowwall.core.limits import Limits
-from yarrowwall.core.outbox import Outbox
-from yarrowwall.core.program.journaled import JournaledProgram
-from yarrowwall.core.program.state import (
-    CallState,
-)
-from yarrowwall.core.scheduling.types import WaitingCall
 from yarrowwall.messages.entries import (
     CallRefused,
 )
@@ -27,6 +15,18 @@
     Request,
     SubmitCall,
 )
+from yarrowwall.standalone.core.effects import (
+    StreamRoute,
+)
+from yarrowwall.standalone.core.events import AttemptKey, EngineCompleted, EngineFault
+from yarrowwall.standalone.core.journal.proposer import ReplicaGroups
+from yarrowwall.standalone.core.limits import Limits
+from yarrowwall.standalone.core.outbox import Outbox
+from yarrowwall.standalone.core.program.journaled import JournaledProgram
+from yarrowwall.standalone.core.program.state import (
+    CallState,
+)
+from yarrowwall.standalone.core.scheduling.types import WaitingCall
 
 #: Seconds after which a caller may repeat a request that was refused.
 RETRY_AFTER = 1.0
--- a/yarrowwall/core/program/state.py
+++ b/yarrowwall/standalone/core/program/state.py
@@ -3,7 +3,6 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from yarrowwall.core.exceptions import InvariantError
 from yarrowwall.messages.entries import (
     AttemptLost,
     AttemptNotRun,
@@ -20,6 +19,7 @@
     ProgramOpened,
 )
 from yarrowwall.messages.requests import CallSummary, ProgramReply
+from yarrowwall.standalone.core.exceptions import InvariantError
 
 #: Bytes of text counted as one token when a budget is reserved before an
 #: engine has counted; the stand-in engines count the same way.
--- a/yarrowwall/core/scheduling/engines.py
+++ b/yarrowwall/standalone/core/scheduling/engines.py
@@ -3,9 +3,9 @@
 from collections import OrderedDict
 from dataclasses import dataclass, field
 
-from yarrowwall.core.events import AttemptKey, CacheBlocksChanged, EngineLoadReported
-from yarrowwall.core.hashing import PrefixBlock
-from yarrowwall.core.scheduling.types import EngineMachine, WaitingCall
+from yarrowwall.hashing import PrefixBlock
+from yarrowwall.standalone.core.events import AttemptKey, CacheBlocksChanged, EngineLoadReported
+from yarrowwall.standalone.core.scheduling.types import EngineMachine, WaitingCall
 
 #: Most blocks remembered per engine; the least recently used go first.
 BELIEF_BLOCKS = 20_000
--- a/yarrowwall/core/scheduling/policies.py
+++ b/yarrowwall/standalone/core/scheduling/policies.py
@@ -4,10 +4,10 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from yarrowwall.core.hashing import first
-from yarrowwall.core.scheduling.engines import EngineProfile, EngineView
-from yarrowwall.core.scheduling.types import WaitingCall
+from yarrowwall.hashing import first
 from yarrowwall.messages.entries import Priority
+from yarrowwall.standalone.core.scheduling.engines import EngineProfile, EngineView
+from yarrowwall.standalone.core.scheduling.types import WaitingCall
 
 
 class Policy(Protocol):
--- a/yarrowwall/core/scheduling/scheduler.py
+++ b/yarrowwall/standalone/core/scheduling/scheduler.py
@@ -2,18 +2,18 @@
 
 from dataclasses import dataclass
 
-from yarrowwall.core.events import (
+from yarrowwall.hashing import rank
+from yarrowwall.messages.entries import Priority
+from yarrowwall.standalone.core.events import (
     AttemptKey,
     CacheBlocksChanged,
     EngineCompleted,
     EngineFault,
     EngineLoadReported,
 )
-from yarrowwall.core.hashing import rank
-from yarrowwall.core.scheduling.engines import AVOID_SECONDS, EngineView
-from yarrowwall.core.scheduling.policies import Policy
-from yarrowwall.core.scheduling.types import EngineMachine, Placement, WaitingCall
-from yarrowwall.messages.entries import Priority
+from yarrowwall.standalone.core.scheduling.engines import AVOID_SECONDS, EngineView
+from yarrowwall.standalone.core.scheduling.policies import Policy
+from yarrowwall.standalone.core.scheduling.types import EngineMachine, Placement, WaitingCall
 
 #: Most engines one node uses and polls; more are shared out by rendezvous hash.
 ENGINES_PER_NODE = 16
--- a/yarrowwall/core/scheduling/types.py
+++ b/yarrowwall/standalone/core/scheduling/types.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from yarrowwall.core.hashing import PrefixBlock
+from yarrowwall.hashing import PrefixBlock
 from yarrowwall.messages.entries import Priority
 
 
--- a/yarrowwall/models/engine.py
+++ b/yarrowwall/standalone/models/engine.py
@@ -9,10 +9,10 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from yarrowwall.core.hashing import PrefixBlock, chain, digest, fraction
-from yarrowwall.core.program.state import BYTES_PER_TOKEN, TOKENS_PER_MESSAGE
+from yarrowwall.hashing import PrefixBlock, chain, digest, fraction
 from yarrowwall.messages.entries import Priority
-from yarrowwall.models.prefix_cache import PrefixCache
+from yarrowwall.standalone.core.program.state import BYTES_PER_TOKEN, TOKENS_PER_MESSAGE
+from yarrowwall.standalone.models.prefix_cache import PrefixCache
 
 #: Relative decoding speed while a prompt is prefilled.
 DECODE_SHARE_DURING_PREFILL = 0.6
--- a/yarrowwall/models/prefix_cache.py
+++ b/yarrowwall/standalone/models/prefix_cache.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from yarrowwall.core.hashing import PrefixBlock
+from yarrowwall.hashing import PrefixBlock
 
 #: Cache events kept for readers; older ones are lost to them.
 EVENTS_KEPT = 2_000
--- a/yarrowwall/runtime/bodies.py
+++ b/yarrowwall/standalone/runtime/bodies.py
@@ -5,7 +5,7 @@
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
 from yarrowwall.messages.entries import ChatMessage
-from yarrowwall.runtime.exceptions import InvalidRequestError
+from yarrowwall.standalone.runtime.exceptions import InvalidRequestError
 
 Body = TypeVar("Body", bound=BaseModel)
 
--- a/yarrowwall/runtime/engine_client.py
+++ b/yarrowwall/standalone/runtime/engine_client.py
@@ -7,8 +7,14 @@
 import urllib3
 from urllib3.exceptions import HTTPError, NewConnectionError
 
-from yarrowwall.core.effects import CancelAttempt, OrderEngine, ReleaseCache, StartAttempt
-from yarrowwall.core.events import (
+from yarrowwall.messages.entries import ChatMessage
+from yarrowwall.standalone.core.effects import (
+    CancelAttempt,
+    OrderEngine,
+    ReleaseCache,
+    StartAttempt,
+)
+from yarrowwall.standalone.core.events import (
     AttemptKey,
     CacheBlocksChanged,
     EngineCompleted,
@@ -19,10 +25,9 @@
     EngineReleased,
     EngineUnreachable,
 )
-from yarrowwall.messages.entries import ChatMessage
-from yarrowwall.runtime.ports import NodePort
-from yarrowwall.runtime.sse import CompletionReader
-from yarrowwall.runtime.streams import StreamTable
+from yarrowwall.standalone.runtime.ports import NodePort
+from yarrowwall.standalone.runtime.sse import CompletionReader
+from yarrowwall.standalone.runtime.streams import StreamTable
 
 #: Silence after which an engine's stream counts as broken, seconds.
 STREAM_SILENCE_SECONDS = 30.0
--- a/yarrowwall/runtime/exchange.py
+++ b/yarrowwall/standalone/runtime/exchange.py
@@ -8,8 +8,8 @@
 
 from yarrowwall.messages.entries import Priority
 from yarrowwall.messages.requests import ErrorReply, ErrorType
-from yarrowwall.runtime.bodies import MOST_BODY_BYTES
-from yarrowwall.runtime.exceptions import InvalidRequestError
+from yarrowwall.standalone.runtime.bodies import MOST_BODY_BYTES
+from yarrowwall.standalone.runtime.exceptions import InvalidRequestError
 
 #: Seconds a caller may take to send its body.
 BODY_SECONDS = 30.0
--- a/yarrowwall/runtime/http_api.py
+++ b/yarrowwall/standalone/runtime/http_api.py
@@ -7,21 +7,6 @@
 
 import logbook
 
-from yarrowwall.core.configuration.commands import (
-    AmendPlan,
-    ApplyIntents,
-    ConfirmPlan,
-    OperatorCommand,
-    OperatorOutcome,
-    OperatorReply,
-    RejectPlan,
-    ReplaceReplica,
-    ShowPlan,
-)
-from yarrowwall.core.configuration.models import CONFIGURATION, Intents
-from yarrowwall.core.effects import ReplyToLookup
-from yarrowwall.core.events import CallerGone, CallerRequest, LookupRequested, OperatorRequest
-from yarrowwall.core.identifiers import make_program_id
 from yarrowwall.messages.entries import EndReason, Priority
 from yarrowwall.messages.peers import StreamChunk
 from yarrowwall.messages.requests import (
@@ -35,19 +20,39 @@
     Request,
     SubmitCall,
 )
-from yarrowwall.runtime import sse
-from yarrowwall.runtime.bodies import (
+from yarrowwall.standalone.core.configuration.commands import (
+    AmendPlan,
+    ApplyIntents,
+    ConfirmPlan,
+    OperatorCommand,
+    OperatorOutcome,
+    OperatorReply,
+    RejectPlan,
+    ReplaceReplica,
+    ShowPlan,
+)
+from yarrowwall.standalone.core.configuration.models import CONFIGURATION, Intents
+from yarrowwall.standalone.core.effects import ReplyToLookup
+from yarrowwall.standalone.core.events import (
+    CallerGone,
+    CallerRequest,
+    LookupRequested,
+    OperatorRequest,
+)
+from yarrowwall.standalone.core.identifiers import make_program_id
+from yarrowwall.standalone.runtime import sse
+from yarrowwall.standalone.runtime.bodies import (
     ChatCompletionBody,
     LookupBody,
     OpenProgramBody,
     ReplaceReplicaBody,
     parse_body,
 )
-from yarrowwall.runtime.callers import FinalReply
-from yarrowwall.runtime.exceptions import InvalidRequestError
-from yarrowwall.runtime.exchange import Exchange
-from yarrowwall.runtime.ports import ServedNode
-from yarrowwall.runtime.relayed_stream import RelayedStream
+from yarrowwall.standalone.runtime.callers import FinalReply
+from yarrowwall.standalone.runtime.exceptions import InvalidRequestError
+from yarrowwall.standalone.runtime.exchange import Exchange
+from yarrowwall.standalone.runtime.ports import ServedNode
+from yarrowwall.standalone.runtime.relayed_stream import RelayedStream
 
 DEFAULT_MAX_TOKENS = 512
 LOOKUP_DEADLINE_SECONDS = 10.0
--- a/yarrowwall/runtime/peers.py
+++ b/yarrowwall/standalone/runtime/peers.py
@@ -19,7 +19,7 @@
 from yarrowwall.addresses import split_address
 from yarrowwall.messages.codec import decode, encode
 from yarrowwall.messages.exceptions import MessageError
-from yarrowwall.runtime.exceptions import FrameError
+from yarrowwall.standalone.runtime.exceptions import FrameError
 
 #: Longest frame that is read; longer ones close the connection.
 MOST_FRAME_BYTES = 64 * 1024 * 1024
--- a/yarrowwall/runtime/platform_client.py
+++ b/yarrowwall/standalone/runtime/platform_client.py
@@ -7,16 +7,16 @@
 import urllib3
 from urllib3.exceptions import HTTPError
 
-from yarrowwall.core.effects import ReadPlatform, SendLookup, WritePlatform
-from yarrowwall.core.events import (
+from yarrowwall.messages.peers import Document
+from yarrowwall.standalone.core.effects import ReadPlatform, SendLookup, WritePlatform
+from yarrowwall.standalone.core.events import (
     LookupAnswered,
     PlatformDocument,
     PlatformRead,
     PlatformWritten,
     WriteOutcome,
 )
-from yarrowwall.messages.peers import Document
-from yarrowwall.runtime.ports import NodePort
+from yarrowwall.standalone.runtime.ports import NodePort
 
 READ_SECONDS = 3.0
 #: Longest time a watch request stays open at the platform.
--- a/yarrowwall/runtime/ports.py
+++ b/yarrowwall/standalone/runtime/ports.py
@@ -2,10 +2,10 @@
 
 from typing import Protocol
 
-from yarrowwall.core.node import NodeCore
-from yarrowwall.runtime.callers import CallerTable
-from yarrowwall.runtime.metrics import NodeMetrics
-from yarrowwall.settings import NodeFileSettings
+from yarrowwall.standalone.core.node import NodeCore
+from yarrowwall.standalone.runtime.callers import CallerTable
+from yarrowwall.standalone.runtime.metrics import NodeMetrics
+from yarrowwall.standalone.settings import NodeFileSettings
 
 
 class NodePort(Protocol):
--- a/yarrowwall/runtime/relayed_stream.py
+++ b/yarrowwall/standalone/runtime/relayed_stream.py
@@ -4,7 +4,7 @@
 
 from yarrowwall.messages.peers import StreamChunk
 from yarrowwall.messages.requests import CallReply, ErrorReply, ErrorType
-from yarrowwall.runtime import sse
+from yarrowwall.standalone.runtime import sse
 
 
 class RelayedStream:
--- a/yarrowwall/runtime/service.py
+++ b/yarrowwall/standalone/runtime/service.py
@@ -11,8 +11,9 @@
 from eventlet.event import Event
 
 from yarrowwall.addresses import split_address
-from yarrowwall.core.configuration.models import ShardMap, ShardReplica
-from yarrowwall.core.effects import (
+from yarrowwall.messages.peers import MemberRecord, MemberStatus, StreamChunk
+from yarrowwall.standalone.core.configuration.models import ShardMap, ShardReplica
+from yarrowwall.standalone.core.effects import (
     AttachStream,
     CancelAttempt,
     Drained,
@@ -31,22 +32,21 @@
     WatchPlatform,
     WritePlatform,
 )
-from yarrowwall.core.events import DrainRequested, NodeStarted, PeerMessage, TimeAdvanced
-from yarrowwall.core.journal.replica import JournalReplica
-from yarrowwall.core.limits import Limits
-from yarrowwall.core.node import NodeCore, NodeSettings
-from yarrowwall.core.scheduling.engines import EngineProfile
-from yarrowwall.core.scheduling.policies import CostWeights, make_policy
-from yarrowwall.core.scheduling.scheduler import SchedulerSettings
-from yarrowwall.messages.peers import MemberRecord, MemberStatus, StreamChunk
-from yarrowwall.runtime.callers import CallerTable
-from yarrowwall.runtime.engine_client import EngineClient
-from yarrowwall.runtime.http_api import HttpApi
-from yarrowwall.runtime.metrics import NodeMetrics
-from yarrowwall.runtime.peers import PeerTransport, set_no_delay
-from yarrowwall.runtime.platform_client import PlatformClient, RecordsClient
-from yarrowwall.runtime.streams import StreamTable
-from yarrowwall.settings import NodeFileSettings
+from yarrowwall.standalone.core.events import DrainRequested, NodeStarted, PeerMessage, TimeAdvanced
+from yarrowwall.standalone.core.journal.replica import JournalReplica
+from yarrowwall.standalone.core.limits import Limits
+from yarrowwall.standalone.core.node import NodeCore, NodeSettings
+from yarrowwall.standalone.core.scheduling.engines import EngineProfile
+from yarrowwall.standalone.core.scheduling.policies import CostWeights, make_policy
+from yarrowwall.standalone.core.scheduling.scheduler import SchedulerSettings
+from yarrowwall.standalone.runtime.callers import CallerTable
+from yarrowwall.standalone.runtime.engine_client import EngineClient
+from yarrowwall.standalone.runtime.http_api import HttpApi
+from yarrowwall.standalone.runtime.metrics import NodeMetrics
+from yarrowwall.standalone.runtime.peers import PeerTransport, set_no_delay
+from yarrowwall.standalone.runtime.platform_client import PlatformClient, RecordsClient
+from yarrowwall.standalone.runtime.streams import StreamTable
+from yarrowwall.standalone.settings import NodeFileSettings
 from yarrowwall.storage import identity
 from yarrowwall.storage.journal_writer import JournalWriter
 from yarrowwall.storage.segments import SegmentStore
--- a/yarrowwall/runtime/streams.py
+++ b/yarrowwall/standalone/runtime/streams.py
@@ -7,9 +7,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from yarrowwall.core.effects import StreamRoute
-from yarrowwall.core.events import AttemptKey
 from yarrowwall.messages.peers import StreamChunk
+from yarrowwall.standalone.core.effects import StreamRoute
+from yarrowwall.standalone.core.events import AttemptKey
 
 #: Delivers a chunk to the gateway that holds the caller's connection.
 SendChunk = Callable[[str, StreamChunk], None]
--- a/yarrowwall/settings.py
+++ b/yarrowwall/standalone/settings.py
@@ -7,9 +7,9 @@
 from pydantic_core import ErrorDetails
 
 from yarrowwall.addresses import check_address
-from yarrowwall.core.limits import Limits
 from yarrowwall.exceptions import SettingsError
 from yarrowwall.settings_file import NAME_PATTERN, parse_toml, read_text
+from yarrowwall.standalone.core.limits import Limits
 
 Address = Annotated[str, AfterValidator(check_address)]
 Name = Annotated[str, Field(pattern=NAME_PATTERN)]
--- a/yarrowwall/simulation/backends.py
+++ b/yarrowwall/standalone/simulation/backends.py
@@ -6,7 +6,8 @@
 
 import simpy
 
-from yarrowwall.core.effects import (
+from yarrowwall.messages.peers import Document
+from yarrowwall.standalone.core.effects import (
     CancelAttempt,
     OrderEngine,
     ReadPlatform,
@@ -15,7 +16,7 @@
     StartAttempt,
     WritePlatform,
 )
-from yarrowwall.core.events import (
+from yarrowwall.standalone.core.events import (
     AttemptKey,
     CacheBlocksChanged,
     EngineCompleted,
@@ -31,9 +32,8 @@
     PlatformWritten,
     WriteOutcome,
 )
-from yarrowwall.core.program.prompts import prompt_blocks
-from yarrowwall.messages.peers import Document
-from yarrowwall.models.engine import (
+from yarrowwall.standalone.core.program.prompts import prompt_blocks
+from yarrowwall.standalone.models.engine import (
     Admission,
     EngineModel,
     EngineOutput,
@@ -43,12 +43,12 @@
     LoadReport,
     Progress,
 )
-from yarrowwall.models.platform import PlatformModel
-from yarrowwall.simulation.network import Network
+from yarrowwall.standalone.models.platform import PlatformModel
+from yarrowwall.standalone.simulation.network import Network
 
 if TYPE_CHECKING:
-    from yarrowwall.simulation.nodes import SimulatedNode
-    from yarrowwall.simulation.observer import Observer
+    from yarrowwall.standalone.simulation.nodes import SimulatedNode
+    from yarrowwall.standalone.simulation.observer import Observer
 
 POLL_SECONDS = 0.5
 #: Age of the reports that engines give.
--- a/yarrowwall/simulation/callers.py
+++ b/yarrowwall/standalone/simulation/callers.py
@@ -9,17 +9,6 @@
 
 import simpy
 
-from yarrowwall.core.configuration.commands import (
-    ApplyIntents,
-    ConfirmPlan,
-    OperatorCommand,
-    OperatorOutcome,
-    OperatorReply,
-)
-from yarrowwall.core.configuration.models import BudgetIntent, Intents, ServingIntent
-from yarrowwall.core.effects import ReplyToLookup
-from yarrowwall.core.events import CallerGone, CallerRequest, LookupRequested, OperatorRequest
-from yarrowwall.core.identifiers import make_program_id
 from yarrowwall.messages.entries import ChatMessage, EndReason, Priority
 from yarrowwall.messages.requests import (
     CallReply,
@@ -31,9 +20,25 @@
     Request,
     SubmitCall,
 )
-from yarrowwall.simulation.nodes import BrokenConnection, SimulatedNode
-from yarrowwall.simulation.observer import Observer, Promise
-from yarrowwall.simulation.workloads import (
+from yarrowwall.standalone.core.configuration.commands import (
+    ApplyIntents,
+    ConfirmPlan,
+    OperatorCommand,
+    OperatorOutcome,
+    OperatorReply,
+)
+from yarrowwall.standalone.core.configuration.models import BudgetIntent, Intents, ServingIntent
+from yarrowwall.standalone.core.effects import ReplyToLookup
+from yarrowwall.standalone.core.events import (
+    CallerGone,
+    CallerRequest,
+    LookupRequested,
+    OperatorRequest,
+)
+from yarrowwall.standalone.core.identifiers import make_program_id
+from yarrowwall.standalone.simulation.nodes import BrokenConnection, SimulatedNode
+from yarrowwall.standalone.simulation.observer import Observer, Promise
+from yarrowwall.standalone.simulation.workloads import (
     MODEL,
     Arrival,
     CallStep,
--- a/yarrowwall/simulation/deployments.py
+++ b/yarrowwall/standalone/simulation/deployments.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from yarrowwall.models.engine import EngineParameters
+from yarrowwall.standalone.models.engine import EngineParameters
 
 
 @dataclass(frozen=True)
--- a/yarrowwall/simulation/faults.py
+++ b/yarrowwall/standalone/simulation/faults.py
@@ -8,10 +8,10 @@
 
 import simpy
 
-from yarrowwall.simulation.backends import SimulatedEngine, SimulatedPlatform
-from yarrowwall.simulation.network import Network
-from yarrowwall.simulation.nodes import SimulatedNode
-from yarrowwall.simulation.observer import Observer
+from yarrowwall.standalone.simulation.backends import SimulatedEngine, SimulatedPlatform
+from yarrowwall.standalone.simulation.network import Network
+from yarrowwall.standalone.simulation.nodes import SimulatedNode
+from yarrowwall.standalone.simulation.observer import Observer
 
 
 class FaultKind(StrEnum):
--- a/yarrowwall/simulation/lower_bound.py
+++ b/yarrowwall/standalone/simulation/lower_bound.py
@@ -3,11 +3,16 @@
 from dataclasses import dataclass
 from random import Random
 
-from yarrowwall.core.program.state import TOKENS_PER_MESSAGE
-from yarrowwall.models.engine import EngineParameters
-from yarrowwall.simulation.report import Percentiles, percentiles
-from yarrowwall.simulation.workloads import CallStep, ChildStep, ProgramPlan, make_arrivals
-from yarrowwall.simulation.world import RunSettings
+from yarrowwall.standalone.core.program.state import TOKENS_PER_MESSAGE
+from yarrowwall.standalone.models.engine import EngineParameters
+from yarrowwall.standalone.simulation.report import Percentiles, percentiles
+from yarrowwall.standalone.simulation.workloads import (
+    CallStep,
+    ChildStep,
+    ProgramPlan,
+    make_arrivals,
+)
+from yarrowwall.standalone.simulation.world import RunSettings
 
 #: Mean answer length as a share of what is allowed; see ``models.engine.answer_tokens``.
 MEAN_ANSWER_SHARE = 0.75
--- a/yarrowwall/simulation/network.py
+++ b/yarrowwall/standalone/simulation/network.py
@@ -5,7 +5,7 @@
 
 import simpy
 
-from yarrowwall.simulation.deployments import LOCAL_LATENCY, Deployment
+from yarrowwall.standalone.simulation.deployments import LOCAL_LATENCY, Deployment
 
 
 class Network:
--- a/yarrowwall/simulation/nodes.py
+++ b/yarrowwall/standalone/simulation/nodes.py
@@ -6,8 +6,10 @@
 
 import simpy
 
-from yarrowwall.core.configuration.models import CONFIGURATION, ShardMap
-from yarrowwall.core.effects import (
+from yarrowwall.messages.peers import MemberRecord
+from yarrowwall.messages.records import Record
+from yarrowwall.standalone.core.configuration.models import CONFIGURATION, ShardMap
+from yarrowwall.standalone.core.effects import (
     AttachStream,
     CancelAttempt,
     Drained,
@@ -26,26 +28,24 @@
     WatchPlatform,
     WritePlatform,
 )
-from yarrowwall.core.events import DrainRequested, NodeStarted, PeerMessage, TimeAdvanced
-from yarrowwall.core.journal.replica import JournalReplica
-from yarrowwall.core.limits import Limits
-from yarrowwall.core.node import NodeCore, NodeSettings
-from yarrowwall.core.scheduling.engines import EngineProfile
-from yarrowwall.core.scheduling.policies import CostWeights, make_policy
-from yarrowwall.core.scheduling.scheduler import SchedulerSettings
-from yarrowwall.messages.peers import MemberRecord
-from yarrowwall.messages.records import Record
-from yarrowwall.simulation.backends import (
+from yarrowwall.standalone.core.events import DrainRequested, NodeStarted, PeerMessage, TimeAdvanced
+from yarrowwall.standalone.core.journal.replica import JournalReplica
+from yarrowwall.standalone.core.limits import Limits
+from yarrowwall.standalone.core.node import NodeCore, NodeSettings
+from yarrowwall.standalone.core.scheduling.engines import EngineProfile
+from yarrowwall.standalone.core.scheduling.policies import CostWeights, make_policy
+from yarrowwall.standalone.core.scheduling.scheduler import SchedulerSettings
+from yarrowwall.standalone.simulation.backends import (
     POLL_SECONDS,
     SimulatedEngine,
     SimulatedPlatform,
     SimulatedRecords,
 )
-from yarrowwall.simulation.network import Network
-from yarrowwall.simulation.observer import Observer
+from yarrowwall.standalone.simulation.network import Network
+from yarrowwall.standalone.simulation.observer import Observer
 
 DISK_SECONDS = 0.001
-#: As ``yarrowwall.runtime.service.DRAIN_GRACE_SECONDS``.
+#: As ``yarrowwall.standalone.runtime.service.DRAIN_GRACE_SECONDS``.
 DRAIN_GRACE_SECONDS = 0.3
 
 
--- a/yarrowwall/simulation/observer.py
+++ b/yarrowwall/standalone/simulation/observer.py
@@ -13,14 +13,14 @@
 import simpy
 import xxhash
 
-from yarrowwall.core.effects import StartAttempt
 from yarrowwall.messages.entries import ChatMessage
 from yarrowwall.messages.requests import CallReply, ErrorReply, ErrorType
-from yarrowwall.models.engine import Progress
+from yarrowwall.standalone.core.effects import StartAttempt
+from yarrowwall.standalone.models.engine import Progress
 
 if TYPE_CHECKING:
-    from yarrowwall.simulation.backends import SimulatedEngine
-    from yarrowwall.simulation.nodes import SimulatedNode
+    from yarrowwall.standalone.simulation.backends import SimulatedEngine
+    from yarrowwall.standalone.simulation.nodes import SimulatedNode
 
 #: Seconds after which a leaving engine must get nothing new.
 LEAVING_SECONDS = 3.0
--- a/yarrowwall/simulation/report.py
+++ b/yarrowwall/standalone/simulation/report.py
@@ -5,7 +5,7 @@
 
 from pydantic import BaseModel
 
-from yarrowwall.simulation.world import World
+from yarrowwall.standalone.simulation.world import World
 
 
 class Percentiles(BaseModel):
--- a/yarrowwall/simulation/workloads.py
+++ b/yarrowwall/standalone/simulation/workloads.py
@@ -3,11 +3,11 @@
 from dataclasses import dataclass
 from random import Random
 
-from yarrowwall.core.hashing import digest
-from yarrowwall.core.program.state import BYTES_PER_TOKEN
+from yarrowwall.hashing import digest
 from yarrowwall.messages.entries import Priority
-from yarrowwall.models.engine import DECODE_SHARE_DURING_PREFILL, EngineParameters
-from yarrowwall.simulation.deployments import Deployment
+from yarrowwall.standalone.core.program.state import BYTES_PER_TOKEN
+from yarrowwall.standalone.models.engine import DECODE_SHARE_DURING_PREFILL, EngineParameters
+from yarrowwall.standalone.simulation.deployments import Deployment
 
 MODEL = "assistant"
 
--- a/yarrowwall/simulation/world.py
+++ b/yarrowwall/standalone/simulation/world.py
@@ -6,8 +6,9 @@
 
 import simpy
 
-from yarrowwall.core.configuration.commands import ReplaceReplica
-from yarrowwall.core.configuration.models import (
+from yarrowwall.messages.peers import MemberRecord, MemberStatus
+from yarrowwall.standalone.core.configuration.commands import ReplaceReplica
+from yarrowwall.standalone.core.configuration.models import (
     CONFIGURATION,
     MACHINES,
     SHARD_MAP,
@@ -19,25 +20,28 @@
     ShardMap,
     ShardReplica,
 )
-from yarrowwall.core.limits import Limits
-from yarrowwall.core.node import NodeCore
-from yarrowwall.core.scheduling.engines import EngineProfile
-from yarrowwall.core.scheduling.policies import CostWeights
-from yarrowwall.messages.peers import MemberRecord, MemberStatus
-from yarrowwall.simulation.backends import SimulatedEngine, SimulatedPlatform, SimulatedRecords
-from yarrowwall.simulation.callers import (
+from yarrowwall.standalone.core.limits import Limits
+from yarrowwall.standalone.core.node import NodeCore
+from yarrowwall.standalone.core.scheduling.engines import EngineProfile
+from yarrowwall.standalone.core.scheduling.policies import CostWeights
+from yarrowwall.standalone.simulation.backends import (
+    SimulatedEngine,
+    SimulatedPlatform,
+    SimulatedRecords,
+)
+from yarrowwall.standalone.simulation.callers import (
     CallerWorld,
     Latency,
     OperatorCaller,
     look_up_for_ever,
     run_arrivals,
 )
-from yarrowwall.simulation.deployments import Deployment
-from yarrowwall.simulation.faults import Fault, FaultInjector, FaultKind, generate_faults
-from yarrowwall.simulation.network import Network
-from yarrowwall.simulation.nodes import Disk, SimulatedNode, Surroundings
-from yarrowwall.simulation.observer import Observer, Promise
-from yarrowwall.simulation.workloads import MODEL, make_arrivals
+from yarrowwall.standalone.simulation.deployments import Deployment
+from yarrowwall.standalone.simulation.faults import Fault, FaultInjector, FaultKind, generate_faults
+from yarrowwall.standalone.simulation.network import Network
+from yarrowwall.standalone.simulation.nodes import Disk, SimulatedNode, Surroundings
+from yarrowwall.standalone.simulation.observer import Observer, Promise
+from yarrowwall.standalone.simulation.workloads import MODEL, make_arrivals
 
 #: The clock does not start at nought, so that no time is mistaken for "never".
 CLOCK_START = 1000.0
--- a/yarrowwall/standins/__init__.py
+++ b/yarrowwall/standalone/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins of the outside systems: HTTP servers over :mod:`yarrowwall.models`."""
+"""Stand-ins of the outside systems: HTTP servers over :mod:`yarrowwall.standalone.models`."""
--- a/yarrowwall/standins/engine.py
+++ b/yarrowwall/standalone/standins/engine.py
@@ -9,10 +9,10 @@
 
 import eventlet
 
-from yarrowwall.core.program.prompts import prompt_blocks
-from yarrowwall.core.program.state import BYTES_PER_TOKEN
 from yarrowwall.messages.entries import ChatMessage, Priority
-from yarrowwall.models.engine import (
+from yarrowwall.standalone.core.program.prompts import prompt_blocks
+from yarrowwall.standalone.core.program.state import BYTES_PER_TOKEN
+from yarrowwall.standalone.models.engine import (
     Admission,
     EngineModel,
     EngineParameters,
@@ -20,7 +20,7 @@
     LoadReport,
     Progress,
 )
-from yarrowwall.standins.web import Call, StandInServer
+from yarrowwall.standalone.standins.web import Call, StandInServer
 
 #: Seconds between looks at a running request.
 TICK_SECONDS = 0.01
--- a/yarrowwall/standins/local_cluster.py
+++ b/yarrowwall/standalone/standins/local_cluster.py
@@ -6,12 +6,12 @@
 
 import eventlet
 
-from yarrowwall.models.engine import EngineParameters
-from yarrowwall.runtime.service import NodeService, listen
-from yarrowwall.settings import NodeFileSettings, PeerSettings, ReplicaSettings
-from yarrowwall.standins.engine import EngineStandIn
-from yarrowwall.standins.platform import MACHINES_OBJECT, PlatformStandIn
-from yarrowwall.standins.records import RecordsStandIn, ToolStandIn
+from yarrowwall.standalone.models.engine import EngineParameters
+from yarrowwall.standalone.runtime.service import NodeService, listen
+from yarrowwall.standalone.settings import NodeFileSettings, PeerSettings, ReplicaSettings
+from yarrowwall.standalone.standins.engine import EngineStandIn
+from yarrowwall.standalone.standins.platform import MACHINES_OBJECT, PlatformStandIn
+from yarrowwall.standalone.standins.records import RecordsStandIn, ToolStandIn
 from yarrowwall.storage import identity
 
 LOOPBACK = "127.0.0.1:0"
--- a/yarrowwall/standins/platform.py
+++ b/yarrowwall/standalone/standins/platform.py
@@ -8,8 +8,8 @@
 import eventlet
 
 from yarrowwall.messages.peers import Document
-from yarrowwall.models.platform import PlatformModel
-from yarrowwall.standins.web import Call, StandInServer
+from yarrowwall.standalone.models.platform import PlatformModel
+from yarrowwall.standalone.standins.web import Call, StandInServer
 
 #: Seconds between looks for changes while a watch waits.
 WATCH_TICK_SECONDS = 0.02
--- a/yarrowwall/standins/records.py
+++ b/yarrowwall/standalone/standins/records.py
@@ -5,8 +5,8 @@
 
 import eventlet
 
-from yarrowwall.core.hashing import digest
-from yarrowwall.standins.web import Call, StandInServer
+from yarrowwall.hashing import digest
+from yarrowwall.standalone.standins.web import Call, StandInServer
 
 
 class RecordsStandIn:
