--- a/Makefile
+++ b/Makefile
@@ -21,7 +21,7 @@
 lint: $(STAMP)
 	$(BIN)/ruff format --check yarrowwall features
 	$(BIN)/ruff check yarrowwall features
-	$(BIN)/mypy yarrowwall/*.py yarrowwall/capacity yarrowwall/standalone/core yarrowwall/messages yarrowwall/readers yarrowwall/relay yarrowwall/quotas yarrowwall/replication yarrowwall/platform yarrowwall/storage
+	$(BIN)/mypy yarrowwall/*.py yarrowwall/budgets yarrowwall/capacity yarrowwall/dispatch yarrowwall/gateway yarrowwall/machine yarrowwall/messages yarrowwall/platform yarrowwall/policy yarrowwall/ports yarrowwall/quotas yarrowwall/replication yarrowwall/standalone/core yarrowwall/storage yarrowwall/watching
 
 schemas: $(STAMP)
 	$(BIN)/python -m yarrowwall.messages.generate
--- a/features/steps/backoff_steps.py
+++ b/features/steps/backoff_steps.py
@@ -7,15 +7,15 @@
 from behave import given, then, when
 from behave.runner import Context
 
+from yarrowwall.decisions import DecisionLog
 from yarrowwall.messages.replicated import Member
-from yarrowwall.readers.order import ReaderOrder
-from yarrowwall.relay.decisions import DecisionLog
-from yarrowwall.relay.freshness import Freshness
-from yarrowwall.relay.freshness_probe import FreshnessProbe
-from yarrowwall.relay.model import Server, ServerLife
-from yarrowwall.relay.object_store import Listing, ObjectName, ObjectStoreError, StoredObject
-from yarrowwall.relay.servers import ServerDirectory
-from yarrowwall.relay.watching import KindFollower
+from yarrowwall.model import Server, ServerLife
+from yarrowwall.policy.freshness import Freshness
+from yarrowwall.policy.servers import ServerDirectory
+from yarrowwall.ports.object_store import Listing, ObjectName, ObjectStoreError, StoredObject
+from yarrowwall.watching.follower import KindFollower
+from yarrowwall.watching.freshness_probe import FreshnessProbe
+from yarrowwall.watching.order import ReaderOrder
 
 NOW_S = 100.0
 
--- a/features/steps/following_steps.py
+++ b/features/steps/following_steps.py
@@ -21,7 +21,7 @@
 )
 from features.support.following_store import Outage
 from yarrowwall.cli.stale import stale
-from yarrowwall.readers.contact import StoreContact
+from yarrowwall.watching.contact import StoreContact
 
 #: Schedules of each trouble in which a broken product has to be found.
 MUTANT_SEEDS = range(40)
--- a/features/steps/freshness_steps.py
+++ b/features/steps/freshness_steps.py
@@ -13,10 +13,10 @@
 from features.support.freshness_model import MUTANTS, oldest_trust_s
 from features.support.platform_scripts import arrivals, world
 from features.support.processes import wait_until
-from yarrowwall.readers.prover import ObjectProver
-from yarrowwall.relay.decisions import DecisionLog
-from yarrowwall.relay.freshness import Freshness
-from yarrowwall.relay.object_store import ObjectName, StoredObject
+from yarrowwall.decisions import DecisionLog
+from yarrowwall.policy.freshness import Freshness
+from yarrowwall.ports.object_store import ObjectName, StoredObject
+from yarrowwall.watching.prover import ObjectProver
 
 SEEDS = range(400)
 NOW_S = 1000.0
--- a/features/steps/machine_steps.py
+++ b/features/steps/machine_steps.py
@@ -8,9 +8,9 @@
 from click.testing import CliRunner
 
 from yarrowwall.cli.node import check_settings
-from yarrowwall.relay.model import Attempt, ProgramContext
-from yarrowwall.relay.settings import parse_machine_settings
-from yarrowwall.relay.urgency import turn_rank
+from yarrowwall.machine.settings import parse_machine_settings
+from yarrowwall.model import Attempt, ProgramContext
+from yarrowwall.policy.urgency import turn_rank
 
 SOUND = {
     "node_id": '"edge-1"',
--- a/features/steps/placement_steps.py
+++ b/features/steps/placement_steps.py
@@ -8,7 +8,8 @@
 from behave.runner import Context
 
 from features.support.placement_model import PlacementModel
-from yarrowwall.capacity.programs import ProgramsUnderWay
+from yarrowwall.capacity.load_board import LoadBoard
+from yarrowwall.capacity.load_reports import LoadReporter
 from yarrowwall.messages.replicated import (
     GroupView,
     LoadReply,
@@ -17,11 +18,10 @@
     StoredRecord,
     TellLoad,
 )
-from yarrowwall.relay.load_reports import LoadReporter
-from yarrowwall.relay.model import EngineTraits, PromptPart, Server, ServerLife, Service
-from yarrowwall.relay.servers import ServerDirectory, Wish
+from yarrowwall.model import EngineTraits, PromptPart, Server, ServerLife, Service
+from yarrowwall.policy.programs_under_way import ProgramsUnderWay
+from yarrowwall.policy.servers import ServerDirectory, Wish
 from yarrowwall.replication.group_views import GroupViews
-from yarrowwall.replication.load_board import LoadBoard
 from yarrowwall.replication.table import RecordTable
 
 NOW = 100.0
--- a/features/steps/quota_proof_steps.py
+++ b/features/steps/quota_proof_steps.py
@@ -5,12 +5,13 @@
 
 from features.support.quota_model import END_S, LIMIT, TERMS, played
 from features.support.quota_mutants import MUTANTS
+from yarrowwall.clocks import Clock
 from yarrowwall.messages.quotas import QuotaReply, QuotaStatus, ReturnQuota, TakeQuota, TenantLimit
 from yarrowwall.messages.replicated import GroupView, Member
+from yarrowwall.policy.program_sizes import ProgramSizes
 from yarrowwall.quotas.entitlement import Entitlement, Voucher
-from yarrowwall.quotas.lender import Clock, Lender
+from yarrowwall.quotas.lender import Lender
 from yarrowwall.quotas.order import LenderOrder
-from yarrowwall.quotas.program_sizes import ProgramSizes
 from yarrowwall.quotas.terms import QuotaTerms
 
 #: Schedules in which a mutant has to be found.
--- a/features/steps/reach_steps.py
+++ b/features/steps/reach_steps.py
@@ -11,10 +11,10 @@
 
 from features.steps.platform_program_steps import turn
 from features.support.cut_world import CutWorld
+from yarrowwall.decisions import DecisionLog
 from yarrowwall.messages.codec import encode
 from yarrowwall.messages.relaying import Forward, Forwarded, ForwardStatus, Neighbour
 from yarrowwall.messages.replicated import AskStatus, ReadChain, StatusReply
-from yarrowwall.relay.decisions import DecisionLog
 from yarrowwall.replication.forwarding import Forwarder
 from yarrowwall.replication.neighbours import NeighbourBoard
 from yarrowwall.replication.paths import LATE_SECONDS, Paths
--- a/features/steps/reader_steps.py
+++ b/features/steps/reader_steps.py
@@ -12,15 +12,10 @@
 
 from features.support.platform_scripts import world
 from features.support.reader_model import ends_in_state
+from yarrowwall.decisions import DecisionLog
 from yarrowwall.messages.objects import ListObjects, ObjectsReply, WatchObjects
 from yarrowwall.messages.replicated import Member
-from yarrowwall.readers.order import ReaderOrder
-from yarrowwall.readers.picture import KindPicture
-from yarrowwall.readers.reader import ObjectReader
-from yarrowwall.readers.store import ReaderStore
-from yarrowwall.readers.wire import ObjectEncoder, changes, stored
-from yarrowwall.relay.decisions import DecisionLog
-from yarrowwall.relay.object_store import (
+from yarrowwall.ports.object_store import (
     Change,
     Changes,
     Listing,
@@ -28,7 +23,12 @@
     ObjectStoreError,
     StoredObject,
 )
-from yarrowwall.relay.watching import KindFollower
+from yarrowwall.watching.follower import KindFollower
+from yarrowwall.watching.order import ReaderOrder
+from yarrowwall.watching.picture import KindPicture
+from yarrowwall.watching.reader import ObjectReader
+from yarrowwall.watching.store import ReaderStore
+from yarrowwall.watching.wire import ObjectEncoder, changes, stored
 
 SEEDS = range(300)
 #: All machines of the scenarios' world stand in one zone, and this is the first by name.
--- a/features/steps/receiving_steps.py
+++ b/features/steps/receiving_steps.py
@@ -8,9 +8,9 @@
 from eventlet.green import socket
 from eventlet.hubs import get_hub
 
-from yarrowwall.relay.caller_watch import CallerWatch
-from yarrowwall.relay.exceptions import CallerGoneError
-from yarrowwall.relay.sockets import Receiver
+from yarrowwall.exceptions import CallerGoneError
+from yarrowwall.gateway.caller_watch import CallerWatch
+from yarrowwall.sockets import Receiver
 
 
 @given("a connection whose greenthread waits {wait_ms:d} ms for something else after each piece")
--- a/features/steps/room_steps.py
+++ b/features/steps/room_steps.py
@@ -24,9 +24,10 @@
     RoomModel,
     Way,
 )
-from yarrowwall.capacity.admission import ProgramAdmission
-from yarrowwall.capacity.own_share import BLIND_FACTOR, OwnShare
-from yarrowwall.capacity.programs import (
+from yarrowwall.messages.capacity import AskRoom
+from yarrowwall.policy.own_share import BLIND_FACTOR, OwnShare
+from yarrowwall.policy.program_admission import ProgramAdmission
+from yarrowwall.policy.programs_under_way import (
     FIRST_PAUSE_SECONDS,
     LIKELY_FACTOR,
     MOST_LIKELY_SECONDS,
@@ -34,10 +35,9 @@
     PAUSE_WEIGHT,
     ProgramsUnderWay,
 )
-from yarrowwall.capacity.returns import GRACE_SECONDS
-from yarrowwall.capacity.room import PLACES_SHARE, ServiceRoom, UnderWay
-from yarrowwall.capacity.shares import TenantShares, water_level
-from yarrowwall.messages.capacity import AskRoom
+from yarrowwall.policy.returns import GRACE_SECONDS
+from yarrowwall.policy.room import PLACES_SHARE, ServiceRoom, UnderWay
+from yarrowwall.policy.tenant_shares import TenantShares, water_level
 
 #: What a program that ends late is worth, in parts of one in time: callers give 0.12 to 0.46.
 LATE_WORTH = 0.3
--- a/features/steps/server_entry_steps.py
+++ b/features/steps/server_entry_steps.py
@@ -25,15 +25,15 @@
 )
 from features.support.platform_scripts import world
 from features.support.schedules import derandomized
+from yarrowwall import decisions
+from yarrowwall.decisions import Decision, DecisionLog
+from yarrowwall.dispatch.server_list import ServerList
+from yarrowwall.exceptions import UnusableEntryError
+from yarrowwall.model import Service
 from yarrowwall.platform.documents import PlatformDocuments
 from yarrowwall.platform.objects import read_json, read_object
-from yarrowwall.relay import decisions
-from yarrowwall.relay.decisions import Decision, DecisionLog
-from yarrowwall.relay.exceptions import UnusableEntryError
-from yarrowwall.relay.model import Service
-from yarrowwall.relay.object_store import Change, StoredObject
-from yarrowwall.relay.server_list import ServerList
-from yarrowwall.relay.servers import ServerDirectory, Wish
+from yarrowwall.policy.servers import ServerDirectory, Wish
+from yarrowwall.ports.object_store import Change, StoredObject
 
 NEVER = Wish((), "", "")
 
--- a/features/steps/server_life_steps.py
+++ b/features/steps/server_life_steps.py
@@ -17,12 +17,12 @@
 from features.support.platform_scripts import add, silent, world
 from features.support.platform_world import Arrival, QuietHandler, address_of, serve
 from features.support.schedules import derandomized
-from yarrowwall.relay.connection import ServerConnection
-from yarrowwall.relay.exceptions import ConnectionBrokenError, RelayError
-from yarrowwall.relay.lives import NewestLives
-from yarrowwall.relay.model import EngineTraits, PromptPart, Server, ServerLife, Service
-from yarrowwall.relay.pool import ConnectionPool
-from yarrowwall.relay.servers import NEW_TOKENS, ServerDirectory, Wish
+from yarrowwall.dispatch.connection import ServerConnection
+from yarrowwall.dispatch.pool import ConnectionPool
+from yarrowwall.exceptions import ConnectionBrokenError, RelayError
+from yarrowwall.model import EngineTraits, PromptPart, Server, ServerLife, Service
+from yarrowwall.policy.lives import NewestLives
+from yarrowwall.policy.servers import NEW_TOKENS, ServerDirectory, Wish
 
 NOW_S = 100.0
 SERVICES = {"models": Service("models", EngineTraits(16, 500_000, 10))}
--- a/features/steps/slow_reader_steps.py
+++ b/features/steps/slow_reader_steps.py
@@ -27,9 +27,9 @@
 )
 from features.support.processes import wait_until
 from features.support.schedules import derandomized
-from yarrowwall.relay.connection import ServerConnection
-from yarrowwall.relay.exceptions import RelayError
-from yarrowwall.relay.memory_budget import (
+from yarrowwall.dispatch.connection import ServerConnection
+from yarrowwall.exceptions import RelayError
+from yarrowwall.policy.memory_budget import (
     MemoryBounds,
     MemoryBudget,
     MemoryExhaustedError,
--- a/features/steps/spent_budget_steps.py
+++ b/features/steps/spent_budget_steps.py
@@ -6,15 +6,14 @@
 from behave import given, then, when
 from behave.runner import Context
 
+from yarrowwall.budgets.budget_requests import wanted_by
+from yarrowwall.budgets.group_reach import GroupReach
+from yarrowwall.budgets.reservations import Reservations
+from yarrowwall.budgets.zone_groups import ZoneGroups
+from yarrowwall.decisions import Decision
+from yarrowwall.exceptions import BudgetExhaustedError, StoreUncertainError
 from yarrowwall.messages.replicated import GroupView, Member, StoredRecord
-from yarrowwall.relay.budget_requests import wanted_by
-from yarrowwall.relay.decisions import Decision
-from yarrowwall.relay.exceptions import StoreUncertainError
-from yarrowwall.relay.group_reach import GroupReach
-from yarrowwall.relay.model import ProgramContext
-from yarrowwall.relay.programs import BudgetExhaustedError
-from yarrowwall.relay.reservations import Reservations
-from yarrowwall.relay.zone_groups import ZoneGroups
+from yarrowwall.model import ProgramContext
 from yarrowwall.replication.exceptions import NoQuorumError
 from yarrowwall.replication.group_views import GroupViews
 from yarrowwall.replication.quorum_client import OwnerReading
--- a/features/steps/start_steps.py
+++ b/features/steps/start_steps.py
@@ -17,10 +17,10 @@
 from features.support.processes import free_addresses, wait_until
 from yarrowwall.addresses import split_address
 from yarrowwall.cli.failures import failures
-from yarrowwall.listeners import EarlyListeners
+from yarrowwall.machine.listeners import EarlyListeners
 from yarrowwall.platform.store import PlatformStore
-from yarrowwall.relay.latency import RetryBudget
-from yarrowwall.relay.object_store import ObjectStoreError
+from yarrowwall.policy.latency import RetryBudget
+from yarrowwall.ports.object_store import ObjectStoreError
 
 #: Seconds for which a silent server holds a request.
 SILENT_SECONDS = 4.0
--- a/features/steps/zone_group_steps.py
+++ b/features/steps/zone_group_steps.py
@@ -11,7 +11,7 @@
 from features.support.zone_groups_model import run_zone_group_schedules
 from features.support.zone_groups_mutants import MUTANTS
 from yarrowwall.messages.replicated import GroupView, Member, StoredRecord
-from yarrowwall.relay.object_store import StoredObject
+from yarrowwall.ports.object_store import StoredObject
 from yarrowwall.replication.documents import read_groups
 from yarrowwall.replication.exceptions import NoQuorumError
 from yarrowwall.replication.group_views import GroupViews
--- a/features/support/cut_machine.py
+++ b/features/support/cut_machine.py
@@ -25,7 +25,7 @@
 def _patch() -> None:
     """Let links lose what they send; the machine notices nothing but silence."""
     _patch_sockets()
-    from yarrowwall.relay.exceptions import ConnectTimeoutError
+    from yarrowwall.exceptions import ConnectTimeoutError
     from yarrowwall.replication import rpc
 
     open_socket = rpc.open_socket
--- a/features/support/detour_model.py
+++ b/features/support/detour_model.py
@@ -24,11 +24,11 @@
 from features.support.virtual_time import now_s, run_virtually
 from yarrowwall.messages.objects import ObjectsReply
 from yarrowwall.messages.relaying import Neighbour
-from yarrowwall.readers import replies
-from yarrowwall.readers.store import ReaderStore
 from yarrowwall.replication.forwarding import Forwarder
 from yarrowwall.replication.passage import NeighbourPassage
 from yarrowwall.replication.relayed_links import RelayedLinkTable
+from yarrowwall.watching import replies
+from yarrowwall.watching.store import ReaderStore
 
 #: Seconds of calm before a cut and behind it.
 CALM_S = 6.0
--- a/features/support/drawn_entries.py
+++ b/features/support/drawn_entries.py
@@ -7,14 +7,14 @@
 
 from hypothesis import strategies as st
 
+from yarrowwall.decisions import DecisionLog
+from yarrowwall.dispatch.server_list import ServerList
+from yarrowwall.model import ResponseHead
 from yarrowwall.platform import store as store_module
 from yarrowwall.platform.documents import PlatformDocuments
 from yarrowwall.platform.store import PlatformStore
-from yarrowwall.relay.decisions import DecisionLog
-from yarrowwall.relay.model import ResponseHead
-from yarrowwall.relay.server_list import ServerList
-from yarrowwall.relay.servers import ServerDirectory
-from yarrowwall.relay.watching import KindFollower
+from yarrowwall.policy.servers import ServerDirectory
+from yarrowwall.watching.follower import KindFollower
 
 NOW_S = 1_700_000_000.0
 #: Answers of the store after which a follower has had all that it needs.
@@ -198,7 +198,7 @@
     with (
         patch.object(store_module, "ServerConnection", _ScriptedConnection),
         patch.object(_ScriptedConnection, "store", store, create=True),
-        patch("yarrowwall.relay.watching.eventlet.sleep"),
+        patch("yarrowwall.watching.follower.eventlet.sleep"),
         patch("yarrowwall.platform.store.eventlet.sleep"),
     ):
         follower = KindFollower(
--- a/features/support/following_model.py
+++ b/features/support/following_model.py
@@ -16,18 +16,18 @@
 
 from features.support.following_store import StandInConnection, StoreStandIn
 from features.support.virtual_time import now_s
+from yarrowwall.decisions import Decision
 from yarrowwall.messages.replicated import Member
 from yarrowwall.platform import store as platform_store
 from yarrowwall.platform.store import PlatformStore
-from yarrowwall.readers import store as reader_store
-from yarrowwall.readers.reader import ObjectReader
-from yarrowwall.readers.store import ReaderStore
-from yarrowwall.relay.decisions import Decision
-from yarrowwall.relay.freshness import Freshness
-from yarrowwall.relay.freshness_probe import FreshnessProbe
-from yarrowwall.relay.object_store import ObjectName, StoredObject
-from yarrowwall.relay.watching import LONG_WATCH_SECONDS, WATCH_SECONDS, KindFollower
+from yarrowwall.policy.freshness import Freshness
+from yarrowwall.ports.object_store import ObjectName, StoredObject
 from yarrowwall.replication.documents import REPLICAS_KIND, member_spec
+from yarrowwall.watching import store as reader_store
+from yarrowwall.watching.follower import LONG_WATCH_SECONDS, WATCH_SECONDS, KindFollower
+from yarrowwall.watching.freshness_probe import FreshnessProbe
+from yarrowwall.watching.reader import ObjectReader
+from yarrowwall.watching.store import ReaderStore
 
 CONFIG = ObjectName("config", "main")
 SERVERS = "servers"
--- a/features/support/following_mutants.py
+++ b/features/support/following_mutants.py
@@ -5,13 +5,13 @@
 from typing import Any
 from unittest.mock import patch
 
-from yarrowwall.readers import prover
-from yarrowwall.readers import store as reader_store
-from yarrowwall.readers.contact_store import ContactStore
-from yarrowwall.readers.picture import KindPicture
-from yarrowwall.relay.freshness import Freshness
-from yarrowwall.relay.object_store import Change
-from yarrowwall.relay.watching import KindFollower
+from yarrowwall.policy.freshness import Freshness
+from yarrowwall.ports.object_store import Change
+from yarrowwall.watching import prover
+from yarrowwall.watching import store as reader_store
+from yarrowwall.watching.contact_store import ContactStore
+from yarrowwall.watching.follower import KindFollower
+from yarrowwall.watching.picture import KindPicture
 
 _take = KindPicture.take
 _watch = KindFollower._watch
--- a/features/support/following_schedules.py
+++ b/features/support/following_schedules.py
@@ -9,7 +9,7 @@
 from features.support.following_model import FollowingWorld, Host, connections_to
 from features.support.following_store import ANSWER_S, Outage
 from features.support.virtual_time import now_s, run_virtually
-from yarrowwall.relay.decisions import DependencyChanged
+from yarrowwall.decisions import DependencyChanged
 
 #: Seconds from the start until troubles begin, and of the calm after the last.
 CALM_S = 6.0
--- a/features/support/following_store.py
+++ b/features/support/following_store.py
@@ -14,13 +14,13 @@
 from eventlet.event import Event
 
 from features.support.virtual_time import now_s
-from yarrowwall.relay.exceptions import (
+from yarrowwall.exceptions import (
     AnswerTimeoutError,
     ConnectError,
     ConnectionBrokenError,
     ConnectTimeoutError,
 )
-from yarrowwall.relay.model import ResponseHead
+from yarrowwall.model import ResponseHead
 
 #: Seconds until an answer of a healthy store has arrived.
 ANSWER_S = 0.004
--- a/features/support/freshness_model.py
+++ b/features/support/freshness_model.py
@@ -7,9 +7,9 @@
 from dataclasses import dataclass, field
 
 from yarrowwall.messages.objects import ObjectsReply, ObjectsStatus
-from yarrowwall.readers import replies
-from yarrowwall.readers.proof import StateProof
-from yarrowwall.relay.freshness import Freshness
+from yarrowwall.policy.freshness import Freshness
+from yarrowwall.watching import replies
+from yarrowwall.watching.proof import StateProof
 
 END_S = 30.0
 CHANGES = 8
--- a/features/support/placement_model.py
+++ b/features/support/placement_model.py
@@ -12,10 +12,10 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from yarrowwall.relay.model import EngineTraits, PromptPart, Server, ServerLife, Service
-from yarrowwall.relay.servers import ServerDirectory, Wish
-from yarrowwall.relay.urgency import RANK_SECONDS
-from yarrowwall.replication.load_board import LoadBoard
+from yarrowwall.capacity.load_board import LoadBoard
+from yarrowwall.model import EngineTraits, PromptPart, Server, ServerLife, Service
+from yarrowwall.policy.servers import ServerDirectory, Wish
+from yarrowwall.policy.urgency import RANK_SECONDS
 
 SERVICE = "models"
 ENGINES = 30
--- a/features/support/quota_model.py
+++ b/features/support/quota_model.py
@@ -11,6 +11,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
+from yarrowwall.clocks import Clock
 from yarrowwall.messages.quotas import (
     LendingBegun,
     QuotaLent,
@@ -23,7 +24,7 @@
 from yarrowwall.quorum import majority
 from yarrowwall.quotas import terms as quota_terms
 from yarrowwall.quotas.entitlement import Entitlement, Voucher
-from yarrowwall.quotas.lender import Clock, Lender
+from yarrowwall.quotas.lender import Lender
 from yarrowwall.quotas.lending import QuotaLending
 from yarrowwall.quotas.terms import QuotaTerms
 from yarrowwall.replication.views import disk_ids
@@ -387,7 +388,7 @@
 
 
 def restore(disk: ModelDisk, record: Any, clock: Clock) -> None:
-    """Take in a record as :class:`yarrowwall.replication.disk.ReplicaDisk` does."""
+    """Take in a record as :class:`yarrowwall.quotas.replica_disk.ReplicaDisk` does."""
     if isinstance(record, QuotaLent):
         disk.lender.restore(record, clock)
     elif isinstance(record, LendingBegun):
--- a/features/support/quota_mutants.py
+++ b/features/support/quota_mutants.py
@@ -7,9 +7,10 @@
 
 from features.support import quota_model
 from features.support.quota_model import World
+from yarrowwall.clocks import Clock
 from yarrowwall.messages.quotas import QuotaLent, TenantLimit
 from yarrowwall.quotas.entitlement import Entitlement, Voucher
-from yarrowwall.quotas.lender import Clock, Lender, Outcome
+from yarrowwall.quotas.lender import Lender, Outcome
 from yarrowwall.quotas.terms import CREDIT_SECONDS, QuotaTerms
 
 _take = Lender.take
--- a/features/support/reader_model.py
+++ b/features/support/reader_model.py
@@ -3,8 +3,8 @@
 import random
 from dataclasses import dataclass, field
 
-from yarrowwall.readers.picture import KindPicture
-from yarrowwall.relay.object_store import Change, Changes, StoredObject
+from yarrowwall.ports.object_store import Change, Changes, StoredObject
+from yarrowwall.watching.picture import KindPicture
 
 NAMES = ("a", "b", "c", "d")
 STEPS = 60
--- a/features/support/return_model.py
+++ b/features/support/return_model.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from yarrowwall.relay.retry_advice import return_after_s
+from yarrowwall.policy.retry_after import return_after_s
 
 #: Seconds that a turn waits for its answer, and the part of what is left of it that it waits
 #: for a second sending.
--- a/features/support/room_model.py
+++ b/features/support/room_model.py
@@ -3,7 +3,7 @@
 Admission is the product's; engines, callers and the ways between are modelled. An engine computes
 steps: each makes one token of every running turn whose prompt is read, and reads a piece of the
 others' prompts, which holds all of them up. What it read stays until memory is wanted for something
-newer. A caller comes back as :mod:`yarrowwall.capacity.returns` takes for granted.
+newer. A caller comes back as :mod:`yarrowwall.policy.returns` takes for granted.
 """
 
 import heapq
@@ -15,11 +15,11 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from yarrowwall.capacity.admission import ProgramAdmission
-from yarrowwall.capacity.own_share import OwnShare
-from yarrowwall.capacity.room import REFUSE_FROM_SHARE, ServiceRoom, UnderWay
 from yarrowwall.messages.capacity import AskRoom
-from yarrowwall.relay.urgency import LATE_RANK, RANK_SECONDS
+from yarrowwall.policy.own_share import OwnShare
+from yarrowwall.policy.program_admission import ProgramAdmission
+from yarrowwall.policy.room import REFUSE_FROM_SHARE, ServiceRoom, UnderWay
+from yarrowwall.policy.urgency import LATE_RANK, RANK_SECONDS
 
 ENGINES = 29
 PLACES = 16
--- a/features/support/zone_model.py
+++ b/features/support/zone_model.py
@@ -16,13 +16,12 @@
 from eventlet.event import Event as Signal
 
 from features.support.virtual_time import now_s, run_virtually
+from yarrowwall import decisions
+from yarrowwall.budgets.ledger import ReplicatedLedger
+from yarrowwall.event_stream import Event
+from yarrowwall.exceptions import BudgetExhaustedError, StoreUncertainError, TurnUnknownError
 from yarrowwall.messages.replicated import GroupView, InstallView, Member
-from yarrowwall.relay import decisions
-from yarrowwall.relay.events import Event
-from yarrowwall.relay.exceptions import StoreUncertainError, TurnUnknownError
-from yarrowwall.relay.ledger import ReplicatedLedger
-from yarrowwall.relay.model import Attempt, ProgramContext, RequestKind, Route
-from yarrowwall.relay.programs import BudgetExhaustedError
+from yarrowwall.model import Attempt, ProgramContext, RequestKind, Route
 from yarrowwall.replication import planner
 from yarrowwall.replication.exceptions import LinkDownError
 from yarrowwall.replication.group_views import GroupViews
--- a/features/support/zone_mutants.py
+++ b/features/support/zone_mutants.py
@@ -5,13 +5,13 @@
 from typing import Any
 from unittest.mock import patch
 
+from yarrowwall.budgets import budget_parts, budget_requests, reservations
+from yarrowwall.budgets.budget_parts import ClaimState, PartReading, Parts, Verdict
+from yarrowwall.budgets.ledger import LedgerGrant
+from yarrowwall.budgets.reservations import Reservations
+from yarrowwall.budgets.turn_store import TurnStore, _Found
+from yarrowwall.budgets.turns import Turn
 from yarrowwall.messages.replicated import StoredRecord
-from yarrowwall.relay import budget_parts, budget_requests, reservations
-from yarrowwall.relay.budget_parts import ClaimState, PartReading, Parts, Verdict
-from yarrowwall.relay.ledger import LedgerGrant
-from yarrowwall.relay.reservations import Reservations
-from yarrowwall.relay.turn_store import TurnStore, _Found
-from yarrowwall.relay.turns import Turn
 from yarrowwall.replication import quorum_client
 from yarrowwall.replication.exceptions import NoQuorumError
 from yarrowwall.replication.views import is_zone_group
--- a/yarrowwall/relay/budget_requests.py
+++ b/yarrowwall/budgets/budget_requests.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from yarrowwall.relay.budget_parts import (
+from yarrowwall.budgets.budget_parts import (
     ClaimState,
     PartReading,
     Parts,
@@ -10,7 +10,7 @@
     is_spent,
     pieces_of,
 )
-from yarrowwall.relay.model import ProgramContext
+from yarrowwall.model import ProgramContext
 from yarrowwall.replication.rounds import Amount
 
 _BUDGET_PREFIX = "budget/"
--- a/yarrowwall/relay/group_reach.py
+++ b/yarrowwall/budgets/group_reach.py
@@ -9,8 +9,8 @@
 
 import eventlet
 
-from yarrowwall.relay import decisions
-from yarrowwall.relay.decisions import DecisionLog
+from yarrowwall import decisions
+from yarrowwall.decisions import DecisionLog
 from yarrowwall.replication.exceptions import NoQuorumError
 
 #: Seconds between two questions whether a group is back. A question is one small read that waits
--- a/yarrowwall/relay/ledger.py
+++ b/yarrowwall/budgets/ledger.py
@@ -5,19 +5,19 @@
 
 import eventlet
 
-from yarrowwall.relay import decisions
-from yarrowwall.relay.budget_requests import Reserved, wanted_by
-from yarrowwall.relay.decisions import DecisionLog
-from yarrowwall.relay.events import Event
-from yarrowwall.relay.exceptions import StoreUncertainError
-from yarrowwall.relay.group_reach import GroupReach
-from yarrowwall.relay.model import Attempt, ProgramContext, Route
-from yarrowwall.relay.programs import TurnGrant
-from yarrowwall.relay.reservations import Reservations
-from yarrowwall.relay.settlements import SettlementQueues
-from yarrowwall.relay.turn_store import Placed, TurnStore
-from yarrowwall.relay.turns import Turn, output_of, prompt_body
-from yarrowwall.relay.zone_groups import ZoneGroups
+from yarrowwall import decisions
+from yarrowwall.budgets.budget_requests import Reserved, wanted_by
+from yarrowwall.budgets.group_reach import GroupReach
+from yarrowwall.budgets.reservations import Reservations
+from yarrowwall.budgets.settlements import SettlementQueues
+from yarrowwall.budgets.turn_store import Placed, TurnStore
+from yarrowwall.budgets.turns import Turn, output_of, prompt_body
+from yarrowwall.budgets.zone_groups import ZoneGroups
+from yarrowwall.decisions import DecisionLog
+from yarrowwall.event_stream import Event
+from yarrowwall.exceptions import StoreUncertainError
+from yarrowwall.model import Attempt, ProgramContext, Route
+from yarrowwall.ports.programs import TurnGrant
 from yarrowwall.replication.exceptions import NoQuorumError
 from yarrowwall.replication.group_views import GroupViews
 from yarrowwall.replication.quorum_client import OPERATION_SECONDS, QuorumClient
--- a/yarrowwall/relay/reservations.py
+++ b/yarrowwall/budgets/reservations.py
@@ -13,9 +13,8 @@
 
 import eventlet
 
-from yarrowwall.messages.replicated import StoredRecord
-from yarrowwall.relay import decisions
-from yarrowwall.relay.budget_parts import (
+from yarrowwall import decisions
+from yarrowwall.budgets.budget_parts import (
     ClaimState,
     Verdict,
     divide,
@@ -23,7 +22,7 @@
     judge,
     spread,
 )
-from yarrowwall.relay.budget_requests import (
+from yarrowwall.budgets.budget_requests import (
     TRACE_PREFIX,
     BudgetRequest,
     GroupHeld,
@@ -31,12 +30,12 @@
     Wanted,
     group_held,
 )
-from yarrowwall.relay.decisions import DecisionLog
-from yarrowwall.relay.exceptions import StoreUncertainError
-from yarrowwall.relay.group_reach import GroupReach
-from yarrowwall.relay.programs import BudgetExhaustedError
-from yarrowwall.relay.settlements import SettlementQueues
-from yarrowwall.relay.zone_groups import ZoneGroups
+from yarrowwall.budgets.group_reach import GroupReach
+from yarrowwall.budgets.settlements import SettlementQueues
+from yarrowwall.budgets.zone_groups import ZoneGroups
+from yarrowwall.decisions import DecisionLog
+from yarrowwall.exceptions import BudgetExhaustedError, StoreUncertainError
+from yarrowwall.messages.replicated import StoredRecord
 from yarrowwall.replication.exceptions import NoQuorumError
 from yarrowwall.replication.quorum_client import OPERATION_SECONDS, OwnerReading, QuorumClient
 from yarrowwall.replication.rounds import Amount, merged
--- a/yarrowwall/relay/settlements.py
+++ b/yarrowwall/budgets/settlements.py
@@ -3,8 +3,8 @@
 import eventlet
 from eventlet.event import Event
 
+from yarrowwall.budgets.group_reach import GroupReach
 from yarrowwall.messages.replicated import StoredRecord
-from yarrowwall.relay.group_reach import GroupReach
 from yarrowwall.replication.exceptions import NoQuorumError
 from yarrowwall.replication.quorum_client import QuorumClient
 
--- a/yarrowwall/relay/turn_copies.py
+++ b/yarrowwall/budgets/turn_copies.py
@@ -10,11 +10,11 @@
 
 import eventlet
 
-from yarrowwall.relay import decisions
-from yarrowwall.relay.decisions import DecisionLog
-from yarrowwall.relay.exceptions import StoreUncertainError
-from yarrowwall.relay.group_reach import GroupReach
-from yarrowwall.relay.turns import Turn, turn_key, turn_record
+from yarrowwall import decisions
+from yarrowwall.budgets.group_reach import GroupReach
+from yarrowwall.budgets.turns import Turn, turn_key, turn_record
+from yarrowwall.decisions import DecisionLog
+from yarrowwall.exceptions import StoreUncertainError
 from yarrowwall.replication.exceptions import NoQuorumError
 from yarrowwall.replication.quorum_client import QuorumClient
 
--- a/yarrowwall/relay/turn_store.py
+++ b/yarrowwall/budgets/turn_store.py
@@ -9,15 +9,15 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
+from yarrowwall import decisions
+from yarrowwall.budgets.group_reach import GroupReach
+from yarrowwall.budgets.settlements import SettlementQueues
+from yarrowwall.budgets.turn_copies import TurnCopies
+from yarrowwall.budgets.turns import Turn, TurnCache, read_turn, turn_key, turn_record
+from yarrowwall.budgets.zone_groups import ZoneGroups
+from yarrowwall.decisions import DecisionLog
+from yarrowwall.exceptions import StoreUncertainError, TurnUnknownError
 from yarrowwall.messages.replicated import StoredRecord
-from yarrowwall.relay import decisions
-from yarrowwall.relay.decisions import DecisionLog
-from yarrowwall.relay.exceptions import StoreUncertainError, TurnUnknownError
-from yarrowwall.relay.group_reach import GroupReach
-from yarrowwall.relay.settlements import SettlementQueues
-from yarrowwall.relay.turn_copies import TurnCopies
-from yarrowwall.relay.turns import Turn, TurnCache, read_turn, turn_key, turn_record
-from yarrowwall.relay.zone_groups import ZoneGroups
 from yarrowwall.replication.exceptions import NoQuorumError
 from yarrowwall.replication.quorum_client import OPERATION_SECONDS, QuorumClient
 
--- a/yarrowwall/relay/turns.py
+++ b/yarrowwall/budgets/turns.py
@@ -5,8 +5,8 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
+from yarrowwall.event_stream import Event
 from yarrowwall.messages.replicated import StoredRecord
-from yarrowwall.relay.events import Event
 
 #: Bytes of turns that a gateway keeps in memory.
 CACHE_BYTES = 24 * 1024 * 1024
--- a/yarrowwall/replication/load_board.py
+++ b/yarrowwall/capacity/load_board.py
@@ -9,8 +9,8 @@
 from collections.abc import Mapping, Sequence
 from typing import NamedTuple
 
-from yarrowwall.capacity.room import UnderWay
 from yarrowwall.messages.capacity import ServiceUnderWay
+from yarrowwall.policy.room import UnderWay
 
 #: Seconds after which a gateway that has fallen silent counts for nothing.
 FORGET_SECONDS = 1.0
--- a/yarrowwall/relay/load_reports.py
+++ b/yarrowwall/capacity/load_reports.py
@@ -14,14 +14,14 @@
 import eventlet
 from eventlet.event import Event
 
-from yarrowwall.capacity.programs import ProgramsUnderWay
+from yarrowwall.capacity.load_board import LEAST_INTERVAL_SECONDS
 from yarrowwall.messages.capacity import AskRoom, ReturnRoom, RoomReply, ServiceUnderWay
 from yarrowwall.messages.replicated import LoadReply, Member, ReportLoad, TellLoad
-from yarrowwall.relay.loads import LoadQuestion, LoadSource, NothingAsked
-from yarrowwall.relay.servers import ServerDirectory
+from yarrowwall.policy.programs_under_way import ProgramsUnderWay
+from yarrowwall.policy.servers import ServerDirectory
+from yarrowwall.ports.loads import LoadQuestion, LoadSource, NothingAsked
 from yarrowwall.replication.exceptions import LinkDownError
 from yarrowwall.replication.group_views import GroupViews
-from yarrowwall.replication.load_board import LEAST_INTERVAL_SECONDS
 from yarrowwall.replication.rpc import LinkTable
 
 #: Seconds that a replica may take to answer a report.
--- a/yarrowwall/relay/program_rooms.py
+++ b/yarrowwall/capacity/program_rooms.py
@@ -3,19 +3,19 @@
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
 
-from yarrowwall.capacity.own_share import BELIEVED_SECONDS, OwnShare
-from yarrowwall.capacity.programs import ProgramsUnderWay
-from yarrowwall.capacity.room import ServiceRoom
+from yarrowwall import decisions
+from yarrowwall.capacity.load_reports import LoadReporter
+from yarrowwall.decisions import DecisionLog
 from yarrowwall.hashing import first_bits, fraction_of
 from yarrowwall.messages.capacity import AskRoom, ReturnRoom, RoomReply, Scarce
-from yarrowwall.relay import decisions
-from yarrowwall.relay.decisions import DecisionLog
-from yarrowwall.relay.load_reports import LoadReporter
-from yarrowwall.relay.model import Attempt, Refusal, Service
-from yarrowwall.relay.offer import RefusedError
-from yarrowwall.relay.rooms import NewProgram, RoomSource
-from yarrowwall.relay.servers import ServerDirectory
-from yarrowwall.relay.service_room import measure
+from yarrowwall.model import Attempt, Service
+from yarrowwall.policy.own_share import BELIEVED_SECONDS, OwnShare
+from yarrowwall.policy.programs_under_way import ProgramsUnderWay
+from yarrowwall.policy.room import ServiceRoom
+from yarrowwall.policy.servers import ServerDirectory
+from yarrowwall.policy.service_room import measure
+from yarrowwall.ports.rooms import NewProgram, RoomSource
+from yarrowwall.refusals import Refusal, RefusedError
 
 #: Part of its remaining time that a caller waits before it comes back; told to wait for longer, it
 #: comes sooner than it was told.
--- a/yarrowwall/replication/room_board.py
+++ b/yarrowwall/capacity/room_board.py
@@ -1,8 +1,8 @@
 """Admission of new programs by service, over the sums of the load board. No I/O."""
 
-from yarrowwall.capacity.admission import ProgramAdmission
+from yarrowwall.capacity.load_board import LoadBoard
 from yarrowwall.messages.capacity import AskRoom, ReturnRoom, RoomReply
-from yarrowwall.replication.load_board import LoadBoard
+from yarrowwall.policy.program_admission import ProgramAdmission
 
 #: Services that are remembered; beyond it the one asked for longest ago is forgotten.
 MOST_SERVICES = 200
--- a/yarrowwall/cli/failures.py
+++ b/yarrowwall/cli/failures.py
@@ -9,9 +9,9 @@
 
 import click
 
+from yarrowwall.capacity.program_rooms import NO_ROOM
 from yarrowwall.cli.explain import read_lines
-from yarrowwall.relay.freshness import TOO_OLD
-from yarrowwall.relay.program_rooms import NO_ROOM
+from yarrowwall.policy.freshness import TOO_OLD
 
 _ENDS = {"AttemptAnswered", "AttemptRefused", "AnswerBrokenOff", "CallerLeft"}
 _BUDGET_SPENT = 402
--- a/yarrowwall/cli/node.py
+++ b/yarrowwall/cli/node.py
@@ -8,7 +8,7 @@
 import click
 
 from yarrowwall.exceptions import SettingsError, YarrowwallError
-from yarrowwall.relay.settings import load_machine_settings
+from yarrowwall.machine.settings import load_machine_settings
 from yarrowwall.settings_file import EXIT_BAD_SETTINGS
 from yarrowwall.standalone import logs
 from yarrowwall.standalone.settings import NodeFileSettings, load_settings
--- a/yarrowwall/relay/connection.py
+++ b/yarrowwall/dispatch/connection.py
@@ -12,13 +12,13 @@
 
 import httptools
 
-from yarrowwall.relay.exceptions import (
+from yarrowwall.exceptions import (
     AnswerTimeoutError,
     ConnectionBrokenError,
     MalformedAnswerError,
 )
-from yarrowwall.relay.model import Header, ResponseHead
-from yarrowwall.relay.sockets import is_quiet, open_socket, receive, send_all
+from yarrowwall.model import Header, ResponseHead
+from yarrowwall.sockets import is_quiet, open_socket, receive, send_all
 
 #: Bytes that are read at once. Each stream whose caller does not read keeps so many, in up to five
 #: copies on their way to the kernel; answers and events are smaller for the most part.
--- a/yarrowwall/relay/offer.py
+++ b/yarrowwall/dispatch/offer.py
@@ -8,28 +8,14 @@
 from dataclasses import dataclass, field
 from http import HTTPStatus
 
-from yarrowwall.quotas.program_sizes import ProgramSizes
-from yarrowwall.relay import decisions
-from yarrowwall.relay.connection import ServerConnection
-from yarrowwall.relay.decisions import DecisionLog
-from yarrowwall.relay.exceptions import (
-    AnswerTimeoutError,
-    ConnectError,
-    MalformedAnswerError,
-    RelayError,
-)
-from yarrowwall.relay.latency import LatencyEstimator, RetryBudget
-from yarrowwall.relay.loads import LoadSource, NoLoads
-from yarrowwall.relay.memory_budget import (
-    DEFAULT_MEMORY_MB,
-    MemoryBounds,
-    MemoryBudget,
-    MemoryHold,
-)
-from yarrowwall.relay.model import (
+from yarrowwall import decisions
+from yarrowwall.decisions import DecisionLog
+from yarrowwall.dispatch.connection import ServerConnection
+from yarrowwall.dispatch.pool import ConnectionPool
+from yarrowwall.exceptions import AnswerTimeoutError, ConnectError, MalformedAnswerError, RelayError
+from yarrowwall.model import (
     Answer,
     Attempt,
-    Refusal,
     RequestKind,
     ResponseHead,
     Route,
@@ -38,12 +24,21 @@
     Server,
     ServerLife,
 )
-from yarrowwall.relay.pool import ConnectionPool
-from yarrowwall.relay.ports import ServerProtocol
-from yarrowwall.relay.quotas import Allowance, NoQuotas, QuotaSource
-from yarrowwall.relay.rooms import AlwaysRoom, RoomSource
-from yarrowwall.relay.servers import Choice, ServerDirectory, ServerState, Wish
-from yarrowwall.relay.urgency import turn_rank
+from yarrowwall.policy.latency import LatencyEstimator, RetryBudget
+from yarrowwall.policy.memory_budget import (
+    DEFAULT_MEMORY_MB,
+    MemoryBounds,
+    MemoryBudget,
+    MemoryHold,
+)
+from yarrowwall.policy.program_sizes import ProgramSizes
+from yarrowwall.policy.servers import Choice, ServerDirectory, ServerState, Wish
+from yarrowwall.policy.urgency import turn_rank
+from yarrowwall.ports.loads import LoadSource, NoLoads
+from yarrowwall.ports.platform import ServerProtocol
+from yarrowwall.ports.quotas import Allowance, NoQuotas, QuotaSource
+from yarrowwall.ports.rooms import AlwaysRoom, RoomSource
+from yarrowwall.refusals import Refusal, RefusedError
 
 #: Seconds after which a caller that was refused for want of room should come back.
 RETRY_AFTER_SECONDS = 0.15
@@ -96,17 +91,6 @@
     sent_at: float
 
 
-class RefusedError(RelayError):
-    """No server took the attempt.
-
-    :param refusal: the final answer.
-    """
-
-    def __init__(self, refusal: Refusal) -> None:
-        super().__init__(refusal.reason)
-        self.refusal = refusal
-
-
 class Offer:
     """The sendings of one attempt.
 
--- a/yarrowwall/relay/pool.py
+++ b/yarrowwall/dispatch/pool.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable
 from weakref import WeakSet
 
-from yarrowwall.relay.connection import ServerConnection
-from yarrowwall.relay.model import Server, ServerLife
+from yarrowwall.dispatch.connection import ServerConnection
+from yarrowwall.model import Server, ServerLife
 
 #: Seconds an idle connection is trusted when the server did not say how long it keeps one.
 DEFAULT_IDLE_SECONDS = 2.0
--- a/yarrowwall/relay/server_list.py
+++ b/yarrowwall/dispatch/server_list.py
@@ -7,13 +7,13 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from yarrowwall.relay import decisions
-from yarrowwall.relay.decisions import DecisionLog
-from yarrowwall.relay.exceptions import EntryFault, UnusableEntryError
-from yarrowwall.relay.model import Server, Service
-from yarrowwall.relay.object_store import Change, StoredObject
-from yarrowwall.relay.ports import Documents
-from yarrowwall.relay.servers import ServerDirectory
+from yarrowwall import decisions
+from yarrowwall.decisions import DecisionLog
+from yarrowwall.exceptions import EntryFault, UnusableEntryError
+from yarrowwall.model import Server, Service
+from yarrowwall.policy.servers import ServerDirectory
+from yarrowwall.ports.object_store import Change, StoredObject
+from yarrowwall.ports.platform import Documents
 
 #: Entries whose faults are remembered, so that each is told of once and not at every list.
 MOST_REMEMBERED = 1000
--- a/yarrowwall/relay/streams.py
+++ b/yarrowwall/dispatch/streams.py
@@ -3,11 +3,12 @@
 from collections.abc import Iterator
 from typing import NoReturn
 
-from yarrowwall.relay.events import Event, EventSplitter
-from yarrowwall.relay.exceptions import AnswerTimeoutError, ConnectionBrokenError, RelayError
-from yarrowwall.relay.memory_budget import MemoryExhaustedError
-from yarrowwall.relay.model import Attempt, Route
-from yarrowwall.relay.offer import Offer, OpenAnswer, RefusedError, RelayParts
+from yarrowwall.dispatch.offer import Offer, OpenAnswer, RelayParts
+from yarrowwall.event_stream import Event, EventSplitter
+from yarrowwall.exceptions import AnswerTimeoutError, ConnectionBrokenError, RelayError
+from yarrowwall.model import Attempt, Route
+from yarrowwall.policy.memory_budget import MemoryExhaustedError
+from yarrowwall.refusals import RefusedError
 
 
 class StreamBrokenError(RelayError):
--- a/yarrowwall/relay/whole.py
+++ b/yarrowwall/dispatch/whole.py
@@ -1,9 +1,10 @@
 """Relaying of answers that are passed on only once they are whole."""
 
-from yarrowwall.relay.exceptions import RelayError
-from yarrowwall.relay.memory_budget import MemoryExhaustedError
-from yarrowwall.relay.model import Answer, Route
-from yarrowwall.relay.offer import Offer, RefusedError, RelayParts
+from yarrowwall.dispatch.offer import Offer, RelayParts
+from yarrowwall.exceptions import RelayError
+from yarrowwall.model import Answer, Route
+from yarrowwall.policy.memory_budget import MemoryExhaustedError
+from yarrowwall.refusals import RefusedError
 
 
 def relay_whole(parts: RelayParts, route: Route, offer: Offer) -> tuple[Answer, bytes]:
--- a/yarrowwall/relay/admission.py
+++ b/yarrowwall/gateway/admission.py
@@ -2,12 +2,13 @@
 
 from collections.abc import Callable
 
-from yarrowwall.relay.freshness import TOO_OLD, Freshness
-from yarrowwall.relay.keys import fingerprint
-from yarrowwall.relay.model import Attempt, Refusal, Route
-from yarrowwall.relay.offer import RETRY_AFTER_SECONDS, RefusedError
-from yarrowwall.relay.retry_advice import return_after_s
-from yarrowwall.relay.routing import RouteTable
+from yarrowwall.dispatch.offer import RETRY_AFTER_SECONDS
+from yarrowwall.gateway.keys import fingerprint
+from yarrowwall.gateway.routing import RouteTable
+from yarrowwall.model import Attempt, Route
+from yarrowwall.policy.freshness import TOO_OLD, Freshness
+from yarrowwall.policy.retry_after import return_after_s
+from yarrowwall.refusals import Refusal, RefusedError
 
 _KEY_UNKNOWN = 401
 _NOT_FOUND = 404
--- a/yarrowwall/relay/bodies.py
+++ b/yarrowwall/gateway/bodies.py
@@ -4,8 +4,8 @@
 
 import eventlet
 
-from yarrowwall.relay.exceptions import CallerGoneError, InvalidAttemptError
-from yarrowwall.relay.memory_budget import MemoryBudget, MemoryExhaustedError, MemoryHold
+from yarrowwall.exceptions import CallerGoneError, InvalidAttemptError
+from yarrowwall.policy.memory_budget import MemoryBudget, MemoryExhaustedError, MemoryHold
 
 #: Bytes of a body that are read at once.
 _PIECE_BYTES = 8 * 1024
--- a/yarrowwall/relay/caller_watch.py
+++ b/yarrowwall/gateway/caller_watch.py
@@ -7,7 +7,7 @@
 import eventlet
 from eventlet.hubs import get_hub
 
-from yarrowwall.relay.exceptions import CallerGoneError
+from yarrowwall.exceptions import CallerGoneError
 
 
 class CallerWatch:
--- a/yarrowwall/relay/gateway.py
+++ b/yarrowwall/gateway/gateway.py
@@ -8,43 +8,37 @@
 
 from eventlet.event import Event
 
-from yarrowwall.relay import decisions
-from yarrowwall.relay.admission import Admission
-from yarrowwall.relay.bodies import BodyLateError, RequestBody
-from yarrowwall.relay.caller_watch import CallerWatch
-from yarrowwall.relay.exceptions import (
+from yarrowwall import decisions
+from yarrowwall.dispatch.offer import RETRY_AFTER_SECONDS, Offer, RelayParts
+from yarrowwall.dispatch.streams import StreamBrokenError, StreamRelay
+from yarrowwall.dispatch.whole import relay_whole
+from yarrowwall.exceptions import (
+    BudgetExhaustedError,
     CallerGoneError,
     InvalidAttemptError,
     StoreUncertainError,
     TurnUnknownError,
 )
-from yarrowwall.relay.freshness import Freshness
-from yarrowwall.relay.http_server import (
+from yarrowwall.gateway.admission import Admission
+from yarrowwall.gateway.bodies import BodyLateError, RequestBody
+from yarrowwall.gateway.caller_watch import CallerWatch
+from yarrowwall.gateway.http_server import (
     STREAM_WRITE_SECONDS,
     ServerLimits,
     close_after_answer,
     expect_stream_read,
 )
-from yarrowwall.relay.keys import key_changes
-from yarrowwall.relay.memory_budget import MemoryExhaustedError
-from yarrowwall.relay.model import (
-    Answer,
-    Attempt,
-    Configuration,
-    Refusal,
-    RequestKind,
-    Route,
-    Service,
-)
-from yarrowwall.relay.offer import RETRY_AFTER_SECONDS, Offer, RefusedError, RelayParts
-from yarrowwall.relay.ports import CallerProtocol
-from yarrowwall.relay.programs import BudgetExhaustedError, ProgramLedger, TurnGrant
-from yarrowwall.relay.quotas import Allowance
-from yarrowwall.relay.retry_advice import return_after_s
-from yarrowwall.relay.rooms import NewProgram
-from yarrowwall.relay.routing import RouteTable
-from yarrowwall.relay.streams import StreamBrokenError, StreamRelay
-from yarrowwall.relay.whole import relay_whole
+from yarrowwall.gateway.keys import key_changes
+from yarrowwall.gateway.routing import RouteTable
+from yarrowwall.model import Answer, Attempt, Configuration, RequestKind, Route, Service
+from yarrowwall.policy.freshness import Freshness
+from yarrowwall.policy.memory_budget import MemoryExhaustedError
+from yarrowwall.policy.retry_after import return_after_s
+from yarrowwall.ports.platform import CallerProtocol
+from yarrowwall.ports.programs import ProgramLedger, TurnGrant
+from yarrowwall.ports.quotas import Allowance
+from yarrowwall.ports.rooms import NewProgram
+from yarrowwall.refusals import Refusal, RefusedError
 
 Environ = dict[str, Any]
 StartResponse = Callable[..., Any]
--- a/yarrowwall/relay/http_server.py
+++ b/yarrowwall/gateway/http_server.py
@@ -6,7 +6,7 @@
 
 import eventlet.wsgi
 
-from yarrowwall.relay.model import CallerLimits
+from yarrowwall.model import CallerLimits
 
 #: Key of the environment under which the application finds the connection's handler.
 PROTOCOL_KEY = "yarrowwall.connection"
--- a/yarrowwall/relay/keys.py
+++ b/yarrowwall/gateway/keys.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
-from yarrowwall.relay.model import Configuration
+from yarrowwall.model import Configuration
 
 #: Bytes of a fingerprint: enough to tell some ten thousand keys apart, too few to guess one by.
 FINGERPRINT_BYTES = 4
--- a/yarrowwall/relay/routing.py
+++ b/yarrowwall/gateway/routing.py
@@ -3,7 +3,7 @@
 from collections import defaultdict
 
 from yarrowwall.messages.quotas import TenantLimit
-from yarrowwall.relay.model import Configuration, Route, ServiceShare, Tenant
+from yarrowwall.model import Configuration, Route, ServiceShare, Tenant
 
 
 class RouteTable:
--- a/yarrowwall/relay/gateway_service.py
+++ b/yarrowwall/machine/gateway_role.py
@@ -2,37 +2,34 @@
 
 import time
 from collections.abc import Callable, Iterable
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 import eventlet
 import eventlet.wsgi
 
-from yarrowwall.capacity.programs import ProgramsUnderWay
-from yarrowwall.listeners import EarlyListeners
+from yarrowwall import decisions
+from yarrowwall.budgets.ledger import ReplicatedLedger
+from yarrowwall.capacity.load_reports import LoadReporter
+from yarrowwall.capacity.program_rooms import ProgramRooms
+from yarrowwall.decisions import DecisionLog
+from yarrowwall.dispatch.offer import RelayParts
+from yarrowwall.dispatch.pool import ConnectionPool
+from yarrowwall.dispatch.server_list import ServerList
+from yarrowwall.gateway.gateway import Gateway
+from yarrowwall.gateway.http_server import ServerLimits, serve
+from yarrowwall.machine.listeners import EarlyListeners
+from yarrowwall.machine.settings import GatewaySettings, MachineSettings
 from yarrowwall.messages.relaying import Neighbour
 from yarrowwall.messages.replicated import GroupView
+from yarrowwall.metrics import MachineMetrics
+from yarrowwall.model import Configuration
+from yarrowwall.policy.freshness import Freshness
+from yarrowwall.policy.memory_budget import MemoryBounds, MemoryBudget
+from yarrowwall.policy.programs_under_way import ProgramsUnderWay
+from yarrowwall.policy.servers import ServerDirectory
+from yarrowwall.ports.object_store import Change, ObjectName, StoredObject
+from yarrowwall.ports.platform import Adapter
 from yarrowwall.quotas.borrowing import QuotaBorrower
-from yarrowwall.readers.store import ReaderStore
-from yarrowwall.relay import decisions
-from yarrowwall.relay.decisions import DecisionLog
-from yarrowwall.relay.freshness import Freshness
-from yarrowwall.relay.freshness_probe import FreshnessProbe
-from yarrowwall.relay.gateway import Gateway
-from yarrowwall.relay.http_server import ServerLimits, serve
-from yarrowwall.relay.ledger import ReplicatedLedger
-from yarrowwall.relay.load_reports import LoadReporter
-from yarrowwall.relay.memory_budget import MemoryBounds, MemoryBudget
-from yarrowwall.relay.metrics import MachineMetrics
-from yarrowwall.relay.model import Configuration
-from yarrowwall.relay.object_store import Change, ObjectName, StoredObject
-from yarrowwall.relay.offer import RelayParts
-from yarrowwall.relay.pool import ConnectionPool
-from yarrowwall.relay.program_rooms import ProgramRooms
-from yarrowwall.relay.server_list import ServerList
-from yarrowwall.relay.servers import ServerDirectory
-from yarrowwall.relay.settings import GatewaySettings, MachineSettings
-from yarrowwall.relay.sockets import green
-from yarrowwall.relay.watching import LONG_WATCH_SECONDS, KindFollower
 from yarrowwall.replication.documents import GROUPS_KIND, read_groups
 from yarrowwall.replication.forwarding import Forwarder
 from yarrowwall.replication.group_views import GroupViews
@@ -41,9 +38,10 @@
 from yarrowwall.replication.quorum_client import QuorumClient
 from yarrowwall.replication.relayed_links import RelayedLinkTable
 from yarrowwall.replication.rpc import serve_requests
-
-if TYPE_CHECKING:
-    from yarrowwall.relay.service import Adapter
+from yarrowwall.sockets import green
+from yarrowwall.watching.follower import LONG_WATCH_SECONDS, KindFollower
+from yarrowwall.watching.freshness_probe import FreshnessProbe
+from yarrowwall.watching.store import ReaderStore
 
 #: Seconds between rounds of housekeeping.
 HOUSEKEEPING_SECONDS = 0.5
@@ -60,7 +58,7 @@
         self,
         settings: MachineSettings,
         own: GatewaySettings,
-        adapter: "Adapter",
+        adapter: Adapter,
         store: ReaderStore,
         listeners: EarlyListeners,
         log: DecisionLog,
--- a/yarrowwall/relay/service.py
+++ b/yarrowwall/machine/process.py
@@ -2,45 +2,29 @@
 
 import signal
 import time
-from collections.abc import Callable
-from dataclasses import dataclass
 from pathlib import Path
 from typing import Protocol
 
 import eventlet
 from eventlet.event import Event
 
+from yarrowwall import decisions
+from yarrowwall.decisions import DecisionLog
 from yarrowwall.exceptions import SettingsError
-from yarrowwall.listeners import EarlyListeners
-from yarrowwall.readers.reader import ObjectReader
-from yarrowwall.readers.store import ReaderStore
-from yarrowwall.relay import decisions
-from yarrowwall.relay.decisions import DecisionLog
-from yarrowwall.relay.gateway_service import GatewayService
-from yarrowwall.relay.metrics import MachineMetrics, serve_metrics
-from yarrowwall.relay.object_store import ObjectName, ObjectStore
-from yarrowwall.relay.ports import CallerProtocol, Documents, ServerProtocol
-from yarrowwall.relay.settings import MachineSettings, load_machine_settings
-from yarrowwall.replication.service import ReplicaService
+from yarrowwall.machine.gateway_role import GatewayService
+from yarrowwall.machine.listeners import EarlyListeners
+from yarrowwall.machine.replica_role import ReplicaService
+from yarrowwall.machine.settings import MachineSettings, load_machine_settings
+from yarrowwall.metrics import MachineMetrics, serve_metrics
+from yarrowwall.ports.object_store import ObjectName
+from yarrowwall.ports.platform import Adapter
+from yarrowwall.watching.reader import ObjectReader
+from yarrowwall.watching.store import ReaderStore
 
 #: Seconds between looks at the settings file, which may change without a signal.
 SETTINGS_SECONDS = 2.0
 
 
-@dataclass(frozen=True)
-class Adapter:
-    """The platform's side of a machine.
-
-    :param make_store: returns a client of the platform's store.
-    """
-
-    callers: CallerProtocol
-    servers: ServerProtocol
-    documents: Documents
-    make_store: Callable[[], ObjectStore]
-    readiness_path: str
-
-
 class Part(Protocol):
     """A role of a machine."""
 
--- a/yarrowwall/replication/service.py
+++ b/yarrowwall/machine/replica_role.py
@@ -7,7 +7,12 @@
 
 import eventlet
 
-from yarrowwall.listeners import EarlyListeners
+from yarrowwall import decisions
+from yarrowwall.capacity.load_board import LoadBoard
+from yarrowwall.capacity.room_board import RoomBoard
+from yarrowwall.decisions import DecisionLog
+from yarrowwall.machine.listeners import EarlyListeners
+from yarrowwall.machine.settings import MachineSettings, ReplicaSettings
 from yarrowwall.messages.capacity import AskRoom, ReturnRoom
 from yarrowwall.messages.objects import ListObjects, WatchObjects
 from yarrowwall.messages.quotas import ReturnQuota, TakeQuota
@@ -25,24 +30,19 @@
     StatusReply,
     TellLoad,
 )
-from yarrowwall.quotas.lending import QuotaLending
-from yarrowwall.readers.reader import ObjectReader
-from yarrowwall.relay import decisions
-from yarrowwall.relay.decisions import DecisionLog
-from yarrowwall.relay.metrics import MachineMetrics
-from yarrowwall.relay.object_store import (
+from yarrowwall.metrics import MachineMetrics
+from yarrowwall.ports.object_store import (
     Change,
     ConflictError,
     ObjectStore,
     ObjectStoreError,
     StoredObject,
 )
-from yarrowwall.relay.ports import Documents
-from yarrowwall.relay.settings import MachineSettings, ReplicaSettings
-from yarrowwall.relay.sockets import green
-from yarrowwall.relay.watching import LONG_WATCH_SECONDS, KindFollower
+from yarrowwall.ports.platform import Documents
+from yarrowwall.quotas.lending import QuotaLending
+from yarrowwall.quotas.replica_disk import QuotaSettings, ReplicaDisk
 from yarrowwall.replication.coordinator import Coordinator, OwnReplicas
-from yarrowwall.replication.disk import QuotaSettings, RecordDisk, ReplicaDisk
+from yarrowwall.replication.disk import RecordDisk
 from yarrowwall.replication.documents import (
     GROUPS_KIND,
     REPLICAS_KIND,
@@ -50,15 +50,16 @@
     read_zone_registration,
     registration_spec,
 )
-from yarrowwall.replication.load_board import LoadBoard
 from yarrowwall.replication.neighbours import NeighbourBoard
 from yarrowwall.replication.peers import ReplicaPeers
 from yarrowwall.replication.planner import target_size
 from yarrowwall.replication.replica import RecordReplica, Request
-from yarrowwall.replication.room_board import RoomBoard
 from yarrowwall.replication.rpc import LinkTable, serve_requests
 from yarrowwall.replication.synchroniser import Synchroniser
 from yarrowwall.replication.views import all_members, disk_ids, is_zone_group, zone_of
+from yarrowwall.sockets import green
+from yarrowwall.watching.follower import LONG_WATCH_SECONDS, KindFollower
+from yarrowwall.watching.reader import ObjectReader
 
 #: Seconds between rounds of upkeep, and between looks for records to drop.
 UPKEEP_SECONDS = 0.3
--- a/yarrowwall/relay/settings.py
+++ b/yarrowwall/machine/settings.py
@@ -12,8 +12,8 @@
 
 from yarrowwall.addresses import check_address
 from yarrowwall.exceptions import SettingsError
+from yarrowwall.policy.memory_budget import DEFAULT_MEMORY_MB
 from yarrowwall.quotas.terms import QuotaTerms
-from yarrowwall.relay.memory_budget import DEFAULT_MEMORY_MB
 from yarrowwall.settings_file import NAME_PATTERN, parse_toml, read_text
 
 _Name = Annotated[str, msgspec.Meta(pattern=NAME_PATTERN)]
--- a/yarrowwall/relay/metrics.py
+++ b/yarrowwall/metrics.py
@@ -12,9 +12,9 @@
 import eventlet
 import eventlet.wsgi
 
+from yarrowwall import decisions
 from yarrowwall.addresses import split_address
-from yarrowwall.relay import decisions
-from yarrowwall.relay.decisions import Decision
+from yarrowwall.decisions import Decision
 
 if TYPE_CHECKING:
     from prometheus_client.metrics_core import Metric
--- a/yarrowwall/relay/model.py
+++ b/yarrowwall/model.py
@@ -273,18 +273,6 @@
     keep_alive: float | None
 
 
-@dataclass(frozen=True)
-class Refusal:
-    """A final answer that the gateway gives itself.
-
-    :param retry_after: seconds until the caller should come back; None if it should not.
-    """
-
-    status: int
-    reason: str
-    retry_after: float | None = None
-
-
 @dataclass
 class SendLog:
     """The servers that an attempt was offered to."""
--- a/yarrowwall/platform/__main__.py
+++ b/yarrowwall/platform/__main__.py
@@ -8,9 +8,9 @@
 from pathlib import Path
 
 from yarrowwall.exceptions import SettingsError
-from yarrowwall.listeners import EarlyListeners
+from yarrowwall.machine.listeners import EarlyListeners
+from yarrowwall.machine.settings import MachineSettings, load_machine_settings
 from yarrowwall.platform import names
-from yarrowwall.relay.settings import MachineSettings, load_machine_settings
 from yarrowwall.settings_file import EXIT_BAD_SETTINGS
 
 
@@ -36,8 +36,8 @@
 
     patch_sockets()
 
+    from yarrowwall.machine.process import run_machine
     from yarrowwall.platform.adapter import make_adapter
-    from yarrowwall.relay.service import run_machine
 
     return run_machine(settings, make_adapter(settings), listeners, path)
 
--- a/yarrowwall/platform/adapter.py
+++ b/yarrowwall/platform/adapter.py
@@ -1,12 +1,12 @@
 """The platform's side of a node, put together."""
 
+from yarrowwall.machine.settings import MachineSettings
 from yarrowwall.platform import names
 from yarrowwall.platform.callers import PlatformCallers
 from yarrowwall.platform.documents import PlatformDocuments
 from yarrowwall.platform.servers import PlatformServers
 from yarrowwall.platform.store import PlatformStore
-from yarrowwall.relay.service import Adapter
-from yarrowwall.relay.settings import MachineSettings
+from yarrowwall.ports.platform import Adapter
 
 
 def make_adapter(settings: MachineSettings) -> Adapter:
--- a/yarrowwall/platform/callers.py
+++ b/yarrowwall/platform/callers.py
@@ -4,9 +4,10 @@
 from http.cookies import CookieError, SimpleCookie
 from typing import Any
 
+from yarrowwall.exceptions import InvalidAttemptError
+from yarrowwall.model import Answer, Attempt, Header, ProgramContext, PromptPart
 from yarrowwall.platform import names
-from yarrowwall.relay.exceptions import InvalidAttemptError
-from yarrowwall.relay.model import Answer, Attempt, Header, ProgramContext, PromptPart, Refusal
+from yarrowwall.refusals import Refusal
 
 #: Seconds that a client without a deadline is held to wait.
 _DEFAULT_DEADLINE = 30.0
--- a/yarrowwall/platform/documents.py
+++ b/yarrowwall/platform/documents.py
@@ -4,10 +4,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from yarrowwall.platform import names
-from yarrowwall.platform.server_entries import read_life, read_server
-from yarrowwall.relay.exceptions import EntryFault, UnusableEntryError
-from yarrowwall.relay.model import (
+from yarrowwall.exceptions import EntryFault, UnusableEntryError
+from yarrowwall.model import (
     CallerLimits,
     Configuration,
     EngineTraits,
@@ -19,7 +17,9 @@
     ServiceShare,
     Tenant,
 )
-from yarrowwall.relay.object_store import StoredObject
+from yarrowwall.platform import names
+from yarrowwall.platform.server_entries import read_life, read_server
+from yarrowwall.ports.object_store import StoredObject
 
 _KINDS = {
     "idempotent": RequestKind.IDEMPOTENT,
--- a/yarrowwall/platform/objects.py
+++ b/yarrowwall/platform/objects.py
@@ -7,7 +7,7 @@
 import json
 from typing import Any
 
-from yarrowwall.relay.object_store import StoredObject
+from yarrowwall.ports.object_store import StoredObject
 
 #: Digits of the longest whole number that is read as one, those of 64 bits. Python refuses to
 #: read numbers of some thousand digits, and messages between machines hold 64 bits.
--- a/yarrowwall/platform/server_entries.py
+++ b/yarrowwall/platform/server_entries.py
@@ -3,8 +3,8 @@
 from typing import Any
 
 from yarrowwall.addresses import check_address, split_address
-from yarrowwall.relay.exceptions import EntryFault, UnusableEntryError
-from yarrowwall.relay.model import Server, ServerLife
+from yarrowwall.exceptions import EntryFault, UnusableEntryError
+from yarrowwall.model import Server, ServerLife
 
 _STATES = ("ready", "draining")
 #: Fields that servers write about themselves and that the gateway has no use for: of another
--- a/yarrowwall/platform/servers.py
+++ b/yarrowwall/platform/servers.py
@@ -1,7 +1,7 @@
 """What the platform's servers are sent, and what their answers mean."""
 
+from yarrowwall.model import Answer, Attempt, ResponseHead, Send
 from yarrowwall.platform import names
-from yarrowwall.relay.model import Answer, Attempt, ResponseHead, Send
 
 _MISDIRECTED = 421
 _LEAST_PRIORITY = 9
--- a/yarrowwall/platform/store.py
+++ b/yarrowwall/platform/store.py
@@ -9,10 +9,10 @@
 
 import eventlet
 
+from yarrowwall.dispatch.connection import ServerConnection
+from yarrowwall.exceptions import AnswerTimeoutError, ConnectTimeoutError, RelayError
 from yarrowwall.platform.objects import read_json, read_object
-from yarrowwall.relay.connection import ServerConnection
-from yarrowwall.relay.exceptions import AnswerTimeoutError, ConnectTimeoutError, RelayError
-from yarrowwall.relay.object_store import (
+from yarrowwall.ports.object_store import (
     Change,
     Changes,
     ConflictError,
--- a/yarrowwall/relay/lives.py
+++ b/yarrowwall/policy/lives.py
@@ -2,7 +2,7 @@
 
 from collections import OrderedDict
 
-from yarrowwall.relay.model import ServerLife
+from yarrowwall.model import ServerLife
 
 #: Servers of which the newest life is remembered after they have gone. A list may be some
 #: seconds old and still tell of a life that is over; servers come and go by dozens meanwhile.
--- a/yarrowwall/relay/memory_budget.py
+++ b/yarrowwall/policy/memory_budget.py
@@ -8,7 +8,7 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from yarrowwall.relay.exceptions import RelayError
+from yarrowwall.exceptions import RelayError
 
 #: Part of a machine's memory that may be held for all requests together. A gateway at rest has
 #: some 30 MB (a quarter of the smallest machines), and each byte of a body exists up to three
--- a/yarrowwall/capacity/own_share.py
+++ b/yarrowwall/policy/own_share.py
@@ -1,6 +1,6 @@
 """What one gateway admits by itself, where no replica decides for all of them. No I/O."""
 
-from yarrowwall.capacity.room import ServiceRoom, free_places
+from yarrowwall.policy.room import ServiceRoom, free_places
 
 #: Seconds after which the sums of other gateways are no longer believed.
 BELIEVED_SECONDS = 1.0
--- a/yarrowwall/relay/prefixes.py
+++ b/yarrowwall/policy/prefixes.py
@@ -7,7 +7,7 @@
 from collections import OrderedDict
 from collections.abc import Sequence
 
-from yarrowwall.relay.model import PromptPart
+from yarrowwall.model import PromptPart
 
 #: Part of an engine's memory that is believed to hold cached parts; running
 #: requests and other gateways' prompts fill the rest.
--- a/yarrowwall/capacity/admission.py
+++ b/yarrowwall/policy/program_admission.py
@@ -7,11 +7,11 @@
 
 from collections import OrderedDict
 
-from yarrowwall.capacity.returns import Ahead, ReturnOrder, Standing
-from yarrowwall.capacity.room import Forecast, UnderWay, forecast, free_places
-from yarrowwall.capacity.shares import TenantShares
 from yarrowwall.hashing import fraction_of
 from yarrowwall.messages.capacity import AskRoom, RoomReply, Scarce
+from yarrowwall.policy.returns import Ahead, ReturnOrder, Standing
+from yarrowwall.policy.room import Forecast, UnderWay, forecast, free_places
+from yarrowwall.policy.tenant_shares import TenantShares
 
 #: Seconds from an admission until its first turn is in the sums that others are told.
 VISIBLE_SECONDS = 0.1
--- a/yarrowwall/capacity/returns.py
+++ b/yarrowwall/policy/returns.py
@@ -2,7 +2,8 @@
 
 Whoever was refused first goes first, among those that can still be in time. A program that cannot
 goes behind them, for it would make one more late, but not for ever: see
-:data:`yarrowwall.capacity.admission.LATE_EVERY`. Tenants with more than their share go behind all.
+:data:`yarrowwall.policy.program_admission.LATE_EVERY`. Tenants with more than their share go
+behind all.
 """
 
 from collections import Counter
--- a/yarrowwall/relay/servers.py
+++ b/yarrowwall/policy/servers.py
@@ -7,9 +7,9 @@
 
 from yarrowwall.backoff import doubled_s
 from yarrowwall.hashing import fraction
-from yarrowwall.relay.lives import NewestLives
-from yarrowwall.relay.model import PromptPart, Server, ServerLife, Service
-from yarrowwall.relay.prefixes import PrefixBelief, SharedParts
+from yarrowwall.model import PromptPart, Server, ServerLife, Service
+from yarrowwall.policy.lives import NewestLives
+from yarrowwall.policy.prefixes import PrefixBelief, SharedParts
 
 #: Tokens of prompt that an engine reads in a second. Reading holds up all other requests
 #: of the engine, so this is half of what an engine reads for a request alone.
--- a/yarrowwall/relay/service_room.py
+++ b/yarrowwall/policy/service_room.py
@@ -1,8 +1,8 @@
 """The room of a service, measured from what a gateway knows of its servers. No I/O."""
 
-from yarrowwall.capacity.room import ServiceRoom
-from yarrowwall.relay.model import Service
-from yarrowwall.relay.servers import (
+from yarrowwall.model import Service
+from yarrowwall.policy.room import ServiceRoom
+from yarrowwall.policy.servers import (
     SLOW_FACTOR,
     ServerDirectory,
     ServerState,
--- a/yarrowwall/relay/urgency.py
+++ b/yarrowwall/policy/urgency.py
@@ -3,7 +3,7 @@
 from bisect import bisect
 from collections.abc import Sequence
 
-from yarrowwall.relay.model import Attempt
+from yarrowwall.model import Attempt
 
 #: Seconds left to a program at which the next less urgent rank begins.
 RANK_SECONDS: Sequence[float] = (0.4, 0.7, 1.0, 1.4, 2.0, 2.8, 4.0, 6.0)
--- a/yarrowwall/relay/object_store.py
+++ b/yarrowwall/ports/object_store.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from typing import Any, NamedTuple, Protocol
 
-from yarrowwall.relay.exceptions import RelayError
+from yarrowwall.exceptions import RelayError
 
 
 class ObjectStoreError(RelayError):
--- a/yarrowwall/relay/ports.py
+++ b/yarrowwall/ports/platform.py
@@ -1,19 +1,21 @@
-"""What the relay needs from the protocol it is spoken to in; the platform's adapter gives it."""
+"""What a machine needs of the platform it runs on; the platform's adapter gives it."""
 
+from collections.abc import Callable
+from dataclasses import dataclass
 from typing import Any, Protocol
 
-from yarrowwall.relay.model import (
+from yarrowwall.model import (
     Answer,
     Attempt,
     Configuration,
     Header,
-    Refusal,
     ResponseHead,
     Send,
     Server,
     ServerLife,
 )
-from yarrowwall.relay.object_store import StoredObject
+from yarrowwall.ports.object_store import ObjectStore, StoredObject
+from yarrowwall.refusals import Refusal
 
 
 class CallerProtocol(Protocol):
@@ -64,3 +66,17 @@
 
     def retirement_status(self, is_complete: bool) -> dict[str, Any]:
         """Return the status of a machine that is emptied."""
+
+
+@dataclass(frozen=True)
+class Adapter:
+    """The platform's side of a machine.
+
+    :param make_store: returns a client of the platform's store.
+    """
+
+    callers: CallerProtocol
+    servers: ServerProtocol
+    documents: Documents
+    make_store: Callable[[], ObjectStore]
+    readiness_path: str
--- a/yarrowwall/relay/programs.py
+++ b/yarrowwall/ports/programs.py
@@ -7,13 +7,8 @@
 
 from typing import Protocol
 
-from yarrowwall.relay.events import Event
-from yarrowwall.relay.exceptions import RelayError
-from yarrowwall.relay.model import Attempt, Route
-
-
-class BudgetExhaustedError(RelayError):
-    """A program's budget does not hold one more turn."""
+from yarrowwall.event_stream import Event
+from yarrowwall.model import Attempt, Route
 
 
 class TurnGrant:
--- a/yarrowwall/relay/quotas.py
+++ b/yarrowwall/ports/quotas.py
@@ -2,7 +2,7 @@
 
 from abc import ABC, abstractmethod
 
-from yarrowwall.relay.model import Attempt
+from yarrowwall.model import Attempt
 
 
 class Allowance(ABC):
--- a/yarrowwall/relay/rooms.py
+++ b/yarrowwall/ports/rooms.py
@@ -5,7 +5,7 @@
 from contextlib import contextmanager
 from typing import NamedTuple
 
-from yarrowwall.relay.model import Attempt, Service
+from yarrowwall.model import Attempt, Service
 
 
 class NewProgram(NamedTuple):
--- a/yarrowwall/quotas/borrowing.py
+++ b/yarrowwall/quotas/borrowing.py
@@ -6,6 +6,8 @@
 
 from collections.abc import Callable
 
+from yarrowwall import decisions
+from yarrowwall.decisions import DecisionLog
 from yarrowwall.messages.quotas import (
     QuotaReply,
     QuotaStatus,
@@ -13,15 +15,13 @@
     TenantLimit,
 )
 from yarrowwall.messages.replicated import Member
+from yarrowwall.model import Attempt
+from yarrowwall.policy.retry_after import return_after_s
+from yarrowwall.ports.quotas import Allowance, QuotaSource, Unlimited
 from yarrowwall.quotas.credits import Credit, CreditStock
 from yarrowwall.quotas.order import LenderOrder
 from yarrowwall.quotas.questions import Question, Questions
-from yarrowwall.relay import decisions
-from yarrowwall.relay.decisions import DecisionLog
-from yarrowwall.relay.model import Attempt, Refusal
-from yarrowwall.relay.offer import RefusedError
-from yarrowwall.relay.quotas import Allowance, QuotaSource, Unlimited
-from yarrowwall.relay.retry_advice import return_after_s
+from yarrowwall.refusals import Refusal, RefusedError
 from yarrowwall.replication.group_views import GroupViews
 from yarrowwall.replication.rpc import LinkTable
 
--- a/yarrowwall/quotas/lender.py
+++ b/yarrowwall/quotas/lender.py
@@ -9,6 +9,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
+from yarrowwall.clocks import Clock
 from yarrowwall.messages.quotas import (
     QuotaLent,
     QuotaReply,
@@ -23,25 +24,6 @@
 NOT_ENTITLED = QuotaReply(QuotaStatus.NOT_ENTITLED, 0, 0, 0, 0.0)
 
 
-class Clock(NamedTuple):
-    """The two clocks of a machine at one moment.
-
-    :param wall_s: the time of day, which may jump.
-    :param steady_s: the monotonic clock, which begins anew when the machine does.
-    """
-
-    wall_s: float
-    steady_s: float
-
-    def age_s(self, wall_s: float, steady_s: float) -> float:
-        """Return the least time that may have passed since the clocks showed something else."""
-        by_wall_s = max(0.0, self.wall_s - wall_s)
-        if steady_s > self.steady_s:
-            # The machine has started anew since: only the time of day goes on.
-            return by_wall_s
-        return min(by_wall_s, self.steady_s - steady_s)
-
-
 class Outcome(NamedTuple):
     """What a question leads to.
 
--- a/yarrowwall/quotas/lending.py
+++ b/yarrowwall/quotas/lending.py
@@ -1,22 +1,17 @@
 """The process side of a lender: answers gateways once what it lends is on disk."""
 
-import time
 from collections.abc import Callable
 
+from yarrowwall import decisions
+from yarrowwall.clocks import Clock, read_clock
+from yarrowwall.decisions import DecisionLog
 from yarrowwall.messages.quotas import LendingBegun, QuotaReply, ReturnQuota, TakeQuota
 from yarrowwall.quotas.entitlement import Entitlement
-from yarrowwall.quotas.lender import NOT_ENTITLED, Clock, Lender
-from yarrowwall.relay import decisions
-from yarrowwall.relay.decisions import DecisionLog
-from yarrowwall.replication.disk import ReplicaDisk
+from yarrowwall.quotas.lender import NOT_ENTITLED, Lender
+from yarrowwall.quotas.replica_disk import ReplicaDisk
 from yarrowwall.replication.peers import ReplicaPeers
 
 
-def read_clock() -> Clock:
-    """Return the machine's clocks."""
-    return Clock(time.time(), time.monotonic())
-
-
 class QuotaLending:
     """Lends this replica's part of tenants' limits while it is entitled to.
 
--- /dev/null
+++ b/yarrowwall/quotas/replica_disk.py
@@ -0,0 +1,66 @@
+"""A replica of a common group on its disk, with what it lent of tenants' limits."""
+
+import time
+from collections.abc import Iterator
+from pathlib import Path
+from typing import NamedTuple
+
+from yarrowwall.clocks import Clock, read_clock
+from yarrowwall.decisions import DecisionLog
+from yarrowwall.messages.quotas import LendingBegun, QuotaLent
+from yarrowwall.messages.replicated import ViewKept
+from yarrowwall.quotas.entitlement import Entitlement
+from yarrowwall.quotas.lender import Lender
+from yarrowwall.quotas.terms import QuotaTerms
+from yarrowwall.replication.disk import DiskRecord, RecordDisk
+from yarrowwall.replication.replica import LogRecord
+
+
+class QuotaSettings(NamedTuple):
+    """How limits are measured, and into how many parts each is divided."""
+
+    terms: QuotaTerms
+    lenders: int
+
+
+class ReplicaDisk(RecordDisk):
+    """A replica of a common group, which also lends, with its log on disk.
+
+    :ivar lender: its part of tenants' limits.
+    :ivar entitlement: whether it may lend.
+    """
+
+    def __init__(self, node_id: str, folder: Path, quotas: QuotaSettings, log: DecisionLog) -> None:
+        self._quotas = quotas
+        super().__init__(node_id, folder, log)
+
+    def _restore_beside(
+        self, disk_id: str, records: Iterator[DiskRecord], clock: Clock
+    ) -> Iterator[LogRecord]:
+        self.entitlement = Entitlement(disk_id, self._quotas.terms.lent_s)
+        self.lender = Lender(self._quotas.terms, self._quotas.lenders, self.entitlement.rank)
+        return self._restore_quotas(records, clock)
+
+    def _restore_quotas(self, records: Iterator[DiskRecord], clock: Clock) -> Iterator[LogRecord]:
+        """Take in what concerns lending; return what concerns records."""
+        for record in records:
+            if isinstance(record, QuotaLent):
+                self.lender.restore(record, clock)
+                continue
+            if isinstance(record, LendingBegun):
+                self.entitlement.restore_begun(clock.steady_s)
+                continue
+            if isinstance(record, ViewKept):
+                self.entitlement.take_view(record.view, clock.steady_s)
+            yield record
+
+    def _snapshot(self) -> list[DiskRecord]:
+        found = super()._snapshot()
+        if self.entitlement.has_begun:
+            found.append(LendingBegun(self.replica.epoch))
+        return found + list(self.lender.snapshot(read_clock()))
+
+    def _now_durable(self, record: DiskRecord) -> None:
+        super()._now_durable(record)
+        if isinstance(record, ViewKept):
+            self.entitlement.take_view(record.view, time.monotonic())
--- a/yarrowwall/relay/__init__.py
+++ /dev/null
@@ -1,6 +0,0 @@
-"""The direct path: a gateway that relays each attempt of a caller to a server itself.
-
-No owner and no forward between gateways stands on the way. What must outlive a
-gateway (token budgets, turns of a conversation) goes to the replicated record
-store, see :mod:`yarrowwall.replication`.
-"""
--- a/yarrowwall/replication/coordinator.py
+++ b/yarrowwall/replication/coordinator.py
@@ -10,10 +10,10 @@
 
 import eventlet
 
+from yarrowwall import decisions
+from yarrowwall.decisions import DecisionLog
 from yarrowwall.messages.replicated import GroupView, Member, StatusReply
-from yarrowwall.relay import decisions
-from yarrowwall.relay.decisions import DecisionLog
-from yarrowwall.relay.object_store import (
+from yarrowwall.ports.object_store import (
     ConflictError,
     ObjectStore,
     ObjectStoreError,
--- a/yarrowwall/replication/disk.py
+++ b/yarrowwall/replication/disk.py
@@ -1,17 +1,12 @@
-"""Replicas with their logs on disk: of records alone, and of records and what was lent."""
+"""A replica with its log on disk, which may hold what others keep there beside records."""
 
-import time
 from collections.abc import Callable, Iterator, Sequence
 from pathlib import Path
-from typing import NamedTuple
 
+from yarrowwall import decisions
+from yarrowwall.clocks import Clock, read_clock
+from yarrowwall.decisions import DecisionLog
 from yarrowwall.messages.quotas import LendingBegun, QuotaLent
-from yarrowwall.messages.replicated import ViewKept
-from yarrowwall.quotas.entitlement import Entitlement
-from yarrowwall.quotas.lender import Clock, Lender
-from yarrowwall.quotas.terms import QuotaTerms
-from yarrowwall.relay import decisions
-from yarrowwall.relay.decisions import DecisionLog
 from yarrowwall.replication.replica import LogRecord, RecordReplica
 from yarrowwall.storage import identity
 from yarrowwall.storage.exceptions import CorruptSegmentError
@@ -26,13 +21,6 @@
 DiskRecord = LogRecord | QuotaLent | LendingBegun
 
 
-class QuotaSettings(NamedTuple):
-    """How limits are measured, and into how many parts each is divided."""
-
-    terms: QuotaTerms
-    lenders: int
-
-
 class RecordDisk:
     """A replica of the record store with its log on disk.
 
@@ -60,7 +48,7 @@
         disk_id = identity.initialise(self._folder)
         self._store = SegmentStore(self._folder / _LOG_FOLDER, SEGMENT_BYTES)
         replica = RecordReplica(node_id, disk_id)
-        clock = Clock(time.time(), time.monotonic())
+        clock = read_clock()
         replica.restore(self._restore_beside(disk_id, self._own_records(), clock), clock.wall_s)
         self.replica = replica
         if self._store.segment_count() > SEGMENTS_KEPT:
@@ -126,46 +114,3 @@
         """Write the log anew if it has grown long."""
         if self._store.segment_count() > SEGMENTS_KEPT:
             self._writer.compact(self._snapshot)
-
-
-class ReplicaDisk(RecordDisk):
-    """A replica of a common group, which also lends, with its log on disk.
-
-    :ivar lender: its part of tenants' limits.
-    :ivar entitlement: whether it may lend.
-    """
-
-    def __init__(self, node_id: str, folder: Path, quotas: QuotaSettings, log: DecisionLog) -> None:
-        self._quotas = quotas
-        super().__init__(node_id, folder, log)
-
-    def _restore_beside(
-        self, disk_id: str, records: Iterator[DiskRecord], clock: Clock
-    ) -> Iterator[LogRecord]:
-        self.entitlement = Entitlement(disk_id, self._quotas.terms.lent_s)
-        self.lender = Lender(self._quotas.terms, self._quotas.lenders, self.entitlement.rank)
-        return self._restore_quotas(records, clock)
-
-    def _restore_quotas(self, records: Iterator[DiskRecord], clock: Clock) -> Iterator[LogRecord]:
-        """Take in what concerns lending; return what concerns records."""
-        for record in records:
-            if isinstance(record, QuotaLent):
-                self.lender.restore(record, clock)
-                continue
-            if isinstance(record, LendingBegun):
-                self.entitlement.restore_begun(clock.steady_s)
-                continue
-            if isinstance(record, ViewKept):
-                self.entitlement.take_view(record.view, clock.steady_s)
-            yield record
-
-    def _snapshot(self) -> list[DiskRecord]:
-        found = super()._snapshot()
-        if self.entitlement.has_begun:
-            found.append(LendingBegun(self.replica.epoch))
-        return found + list(self.lender.snapshot(Clock(time.time(), time.monotonic())))
-
-    def _now_durable(self, record: DiskRecord) -> None:
-        super()._now_durable(record)
-        if isinstance(record, ViewKept):
-            self.entitlement.take_view(record.view, time.monotonic())
--- a/yarrowwall/replication/documents.py
+++ b/yarrowwall/replication/documents.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from yarrowwall.messages.replicated import GroupView, Member
-from yarrowwall.relay.object_store import StoredObject
+from yarrowwall.ports.object_store import StoredObject
 
 #: Kind of the machines' registrations, one object a node.
 REPLICAS_KIND = "yarrowwall-replicas"
--- a/yarrowwall/replication/relayed_links.py
+++ b/yarrowwall/replication/relayed_links.py
@@ -10,12 +10,12 @@
 
 import eventlet
 
+from yarrowwall import decisions
+from yarrowwall.decisions import DecisionLog
 from yarrowwall.messages.codec import decode, encode
 from yarrowwall.messages.exceptions import MessageError
 from yarrowwall.messages.relaying import Forward, Forwarded, ForwardStatus, Neighbour
 from yarrowwall.messages.replicated import AskStatus
-from yarrowwall.relay import decisions
-from yarrowwall.relay.decisions import DecisionLog
 from yarrowwall.replication.paths import (
     FORWARD_LATE_SECONDS,
     LATE_SECONDS,
--- a/yarrowwall/replication/rpc.py
+++ b/yarrowwall/replication/rpc.py
@@ -13,11 +13,11 @@
 import eventlet
 from eventlet.event import Event
 
+from yarrowwall.exceptions import ConnectError
 from yarrowwall.messages.codec import decode, encode
 from yarrowwall.messages.exceptions import MessageError
-from yarrowwall.relay.exceptions import ConnectError
-from yarrowwall.relay.sockets import Receiver, open_socket, set_silence_limits
 from yarrowwall.replication.exceptions import LinkDownError
+from yarrowwall.sockets import Receiver, open_socket, set_silence_limits
 
 #: Longest frame that is read; longer ones close the connection.
 MOST_FRAME_BYTES = 64 * 1024 * 1024
--- a/yarrowwall/replication/synchroniser.py
+++ b/yarrowwall/replication/synchroniser.py
@@ -4,6 +4,8 @@
 
 import eventlet
 
+from yarrowwall import decisions
+from yarrowwall.decisions import DecisionLog
 from yarrowwall.messages.replicated import (
     FetchRecords,
     GroupView,
@@ -14,8 +16,6 @@
     RecordsReply,
     ReplyStatus,
 )
-from yarrowwall.relay import decisions
-from yarrowwall.relay.decisions import DecisionLog
 from yarrowwall.replication.disk import RecordDisk
 from yarrowwall.replication.exceptions import LinkDownError
 from yarrowwall.replication.rpc import LinkTable
--- a/yarrowwall/relay/sockets.py
+++ b/yarrowwall/sockets.py
@@ -12,7 +12,7 @@
 from eventlet.green import socket as green_socket
 from eventlet.hubs import IOClosed, get_hub, trampoline
 
-from yarrowwall.relay.exceptions import ConnectError, ConnectTimeoutError
+from yarrowwall.exceptions import ConnectError, ConnectTimeoutError
 
 #: Milliseconds that sent bytes may stay unacknowledged; a silent peer never resets.
 USER_TIMEOUT_MS = 2500
--- a/yarrowwall/readers/__init__.py
+++ b/yarrowwall/watching/__init__.py
@@ -1,5 +1,5 @@
 """Reading the platform's store for others: few machines of a zone watch it, all ask them.
 
-A gateway or replica follows the store through :class:`yarrowwall.readers.store.ReaderStore`,
-which asks one of the machines that run an :class:`yarrowwall.readers.reader.ObjectReader`.
+A gateway or replica follows the store through :class:`yarrowwall.watching.store.ReaderStore`,
+which asks one of the machines that run an :class:`yarrowwall.watching.reader.ObjectReader`.
 """
--- a/yarrowwall/readers/contact_store.py
+++ b/yarrowwall/watching/contact_store.py
@@ -5,8 +5,7 @@
 
 from eventlet.event import Event
 
-from yarrowwall.readers.contact import StoreContact
-from yarrowwall.relay.object_store import (
+from yarrowwall.ports.object_store import (
     Changes,
     ConflictError,
     HistoryForgottenError,
@@ -17,6 +16,7 @@
     StoreSilentError,
     WatchInterruptedError,
 )
+from yarrowwall.watching.contact import StoreContact
 
 
 class ContactStore:
--- a/yarrowwall/readers/detour.py
+++ b/yarrowwall/watching/detour.py
@@ -5,13 +5,13 @@
 from enum import StrEnum
 from typing import Protocol
 
+from yarrowwall import decisions
 from yarrowwall.backoff import doubled_s
+from yarrowwall.decisions import DecisionLog
 from yarrowwall.messages.objects import ListObjects, ObjectsReply, ObjectsStatus, WatchObjects
 from yarrowwall.messages.replicated import Member
-from yarrowwall.readers.order import ReaderOrder
-from yarrowwall.relay import decisions
-from yarrowwall.relay.decisions import DecisionLog
 from yarrowwall.replication.exceptions import LinkDownError, NoNeighbourError
+from yarrowwall.watching.order import ReaderOrder
 
 #: Seconds without an answer of any reader, and without one that is relied on, after which
 #: neighbours are asked. A reader that hears nothing from the store says so every 0.5 s, so in an
--- a/yarrowwall/readers/direct_watches.py
+++ b/yarrowwall/watching/direct_watches.py
@@ -3,8 +3,8 @@
 import eventlet
 from eventlet.event import Event
 
-from yarrowwall.readers.contact_store import ContactStore
-from yarrowwall.relay.object_store import Changes, WatchInterruptedError
+from yarrowwall.ports.object_store import Changes, WatchInterruptedError
+from yarrowwall.watching.contact_store import ContactStore
 
 
 class DirectWatches:
--- a/yarrowwall/relay/watching.py
+++ b/yarrowwall/watching/follower.py
@@ -5,11 +5,11 @@
 
 import eventlet
 
+from yarrowwall import decisions
 from yarrowwall.backoff import doubled_s
+from yarrowwall.decisions import DecisionLog
 from yarrowwall.hashing import fraction
-from yarrowwall.relay import decisions
-from yarrowwall.relay.decisions import DecisionLog
-from yarrowwall.relay.object_store import (
+from yarrowwall.ports.object_store import (
     Change,
     HistoryForgottenError,
     ObjectStoreError,
--- a/yarrowwall/relay/freshness_probe.py
+++ b/yarrowwall/watching/freshness_probe.py
@@ -4,12 +4,12 @@
 
 import eventlet
 
+from yarrowwall import decisions
 from yarrowwall.backoff import doubled_s
+from yarrowwall.decisions import DecisionLog
 from yarrowwall.hashing import fraction
-from yarrowwall.relay import decisions
-from yarrowwall.relay.decisions import DecisionLog
-from yarrowwall.relay.freshness import Freshness
-from yarrowwall.relay.object_store import (
+from yarrowwall.policy.freshness import Freshness
+from yarrowwall.ports.object_store import (
     ObjectName,
     ObjectStoreError,
     ReadableStore,
--- a/yarrowwall/readers/picture.py
+++ b/yarrowwall/watching/picture.py
@@ -4,7 +4,7 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
-from yarrowwall.relay.object_store import Change, Changes, Listing, StoredObject
+from yarrowwall.ports.object_store import Change, Changes, Listing, StoredObject
 
 #: Batches of changes that are remembered. The kinds that change often do so about twice a
 #: second (the pause between two questions is 0.4 s), so this is some twenty seconds.
--- a/yarrowwall/readers/prover.py
+++ b/yarrowwall/watching/prover.py
@@ -6,15 +6,15 @@
 import eventlet
 from eventlet.event import Event
 
-from yarrowwall.readers.proof import StateProof
-from yarrowwall.relay import decisions
-from yarrowwall.relay.decisions import DecisionLog
-from yarrowwall.relay.object_store import (
+from yarrowwall import decisions
+from yarrowwall.decisions import DecisionLog
+from yarrowwall.ports.object_store import (
     ObjectName,
     ObjectStoreError,
     ReadableStore,
     WatchInterruptedError,
 )
+from yarrowwall.watching.proof import StateProof
 
 #: Seconds from one question to the next. Each answer is passed on at once to all who wait for
 #: a change (a question of theirs waits 1 s), so what they know is proved about 0.9 s ago at most
--- a/yarrowwall/readers/reader.py
+++ b/yarrowwall/watching/reader.py
@@ -1,7 +1,7 @@
 """Follows kinds of the platform's store for other machines, as long as they ask.
 
 Nobody is chosen for this: all machines of a zone ask the same ones in the same order
-(:mod:`yarrowwall.readers.order`), and a machine that is asked begins to follow.
+(:mod:`yarrowwall.watching.order`), and a machine that is asked begins to follow.
 """
 
 from collections.abc import Callable
@@ -9,6 +9,7 @@
 
 import eventlet
 
+from yarrowwall.decisions import DecisionLog
 from yarrowwall.messages.objects import (
     ListObjects,
     ObjectsReply,
@@ -16,14 +17,13 @@
     RelayedObject,
     WatchObjects,
 )
-from yarrowwall.readers.contact import GRACE_SECONDS
-from yarrowwall.readers.contact_store import ContactStore
-from yarrowwall.readers.picture import KindPicture
-from yarrowwall.readers.prover import ObjectProver
-from yarrowwall.readers.wire import ObjectEncoder
-from yarrowwall.relay.decisions import DecisionLog
-from yarrowwall.relay.object_store import Change, ObjectName, ReadableStore, StoredObject
-from yarrowwall.relay.watching import COALESCE_SECONDS, LONG_WATCH_SECONDS, KindFollower
+from yarrowwall.ports.object_store import Change, ObjectName, ReadableStore, StoredObject
+from yarrowwall.watching.contact import GRACE_SECONDS
+from yarrowwall.watching.contact_store import ContactStore
+from yarrowwall.watching.follower import COALESCE_SECONDS, LONG_WATCH_SECONDS, KindFollower
+from yarrowwall.watching.picture import KindPicture
+from yarrowwall.watching.prover import ObjectProver
+from yarrowwall.watching.wire import ObjectEncoder
 
 #: Seconds for which a question waits for the reader's own first list. A list takes 0.01 s if
 #: the store answers at once; beyond this the asker had better try another reader.
--- a/yarrowwall/readers/replies.py
+++ b/yarrowwall/watching/replies.py
@@ -3,8 +3,8 @@
 from collections.abc import Sequence
 
 from yarrowwall.messages.objects import ObjectsReply, ObjectsStatus
-from yarrowwall.readers.wire import changes, stored
-from yarrowwall.relay.object_store import Changes, HistoryForgottenError, Listing, StoredObject
+from yarrowwall.ports.object_store import Changes, HistoryForgottenError, Listing, StoredObject
+from yarrowwall.watching.wire import changes, stored
 
 
 def is_out_of_contact(reply: ObjectsReply | None) -> bool:
--- a/yarrowwall/readers/store.py
+++ b/yarrowwall/watching/store.py
@@ -11,6 +11,8 @@
 import eventlet
 from eventlet.event import Event
 
+from yarrowwall import decisions
+from yarrowwall.decisions import DecisionLog
 from yarrowwall.hashing import fraction
 from yarrowwall.messages.objects import (
     ListObjects,
@@ -19,15 +21,7 @@
     WatchObjects,
 )
 from yarrowwall.messages.replicated import Member
-from yarrowwall.readers.contact_store import ContactStore
-from yarrowwall.readers.detour import PAUSE_SECONDS, PROMPT_PAUSE_SECONDS, ReaderDetour
-from yarrowwall.readers.direct_watches import DirectWatches
-from yarrowwall.readers.order import ReaderOrder
-from yarrowwall.readers.reader import FIRST_LIST_SECONDS, ObjectReader
-from yarrowwall.readers.replies import is_out_of_contact, told_changes, told_listing
-from yarrowwall.relay import decisions
-from yarrowwall.relay.decisions import DecisionLog
-from yarrowwall.relay.object_store import (
+from yarrowwall.ports.object_store import (
     Change,
     Changes,
     HistoryForgottenError,
@@ -37,9 +31,15 @@
     StoredObject,
     WatchInterruptedError,
 )
-from yarrowwall.relay.watching import KindFollower
 from yarrowwall.replication.documents import REPLICAS_KIND, read_registration
 from yarrowwall.replication.rpc import LinkTable
+from yarrowwall.watching.contact_store import ContactStore
+from yarrowwall.watching.detour import PAUSE_SECONDS, PROMPT_PAUSE_SECONDS, ReaderDetour
+from yarrowwall.watching.direct_watches import DirectWatches
+from yarrowwall.watching.follower import KindFollower
+from yarrowwall.watching.order import ReaderOrder
+from yarrowwall.watching.reader import FIRST_LIST_SECONDS, ObjectReader
+from yarrowwall.watching.replies import is_out_of_contact, told_changes, told_listing
 
 #: Seconds that a question waits for a change of a kind by which silent readers are found, and
 #: of any other: so long may a machine stay with another reader once the first is back.
--- a/yarrowwall/readers/wire.py
+++ b/yarrowwall/watching/wire.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from yarrowwall.messages.objects import RelayedObject
-from yarrowwall.relay.object_store import Change, StoredObject
+from yarrowwall.ports.object_store import Change, StoredObject
 
 #: The fastest of zlib's levels: a configuration of 2,000 routes (600 KB) shrinks to less than a
 #: tenth, and goes to each machine of a zone.
