--- a/features/support/return_model.py
+++ b/features/support/return_model.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from yarrowwall.policy.retry_after import return_after_s
+from yarrowwall.policy.retry_after import after_outage_s
 
 #: Seconds that a turn waits for its answer, and the part of what is left of it that it waits
 #: for a second sending.
@@ -43,7 +43,7 @@
 
 
 WAYS: dict[str, Advice] = {
-    "half as long again": return_after_s,
+    "half as long again": after_outage_s,
     "as long again": as_long_again,
     "soon": soon,
 }
--- a/yarrowwall/capacity/program_rooms.py
+++ b/yarrowwall/capacity/program_rooms.py
@@ -6,28 +6,21 @@
 from yarrowwall import decisions
 from yarrowwall.capacity.load_reports import LoadReporter
 from yarrowwall.decisions import DecisionLog
-from yarrowwall.hashing import first_bits, fraction_of
+from yarrowwall.hashing import first_bits
 from yarrowwall.messages.capacity import AskRoom, ReturnRoom, RoomReply, Scarce
 from yarrowwall.model import Attempt, Service
 from yarrowwall.policy.own_share import BELIEVED_SECONDS, OwnShare
 from yarrowwall.policy.programs_under_way import ProgramsUnderWay
+from yarrowwall.policy.retry_after import after_unknown_room_s, patience_s
 from yarrowwall.policy.room import ServiceRoom
 from yarrowwall.policy.servers import ServerDirectory
 from yarrowwall.policy.service_room import measure
 from yarrowwall.ports.rooms import NewProgram, RoomSource
-from yarrowwall.refusals import Refusal, RefusedError
-
-#: Part of its remaining time that a caller waits before it comes back; told to wait for longer, it
-#: comes sooner than it was told.
-MOST_WAIT_SHARE = 1.0 / 3.0
-#: Bounds of the wait of a program that a gateway refuses by itself: about as long as programs take
-#: to end, spread over half of it.
-OWN_WAIT_SECONDS = 1.0
+from yarrowwall.refusals import unavailable
+
 #: How a refusal for want of room begins.
 NO_ROOM = "no room for a new program"
 
-_UNAVAILABLE = 503
-
 
 class ProgramRooms(RoomSource):
     """Room for the programs of one gateway.
@@ -72,7 +65,7 @@
             reason = (
                 f"{NO_ROOM}: {reply.scarce}, {reply.ahead} of {reply.waiting} waiting go before"
             )
-            raise RefusedError(Refusal(_UNAVAILABLE, reason, reply.retry_after_s))
+            raise unavailable(reason, reply.retry_after_s)
 
     def did_not_begin(self, new: NewProgram) -> None:
         """Give back the room of a program that its tenant's limit refused."""
@@ -110,7 +103,7 @@
             room.places,
             room.memory_tokens,
             finish_at - now_s if finish_at is not None else 0.0,
-            max(0.0, (attempt.deadline - now_s) * MOST_WAIT_SHARE),
+            patience_s(attempt.deadline - now_s),
         )
 
     def _decide_alone(self, ask: AskRoom, room: ServiceRoom) -> RoomReply:
@@ -120,8 +113,7 @@
             if state.server.service == ask.service
         )
         is_admitted = self._own.admits(room, own, self._reporter.reporters, self._now())
-        longest_s = min(ask.patience_s, OWN_WAIT_SECONDS)
-        wait_s = longest_s * (0.5 + 0.5 * fraction_of(ask.program))
+        wait_s = after_unknown_room_s(ask.patience_s, ask.program)
         scarce = Scarce.NOTHING if is_admitted else Scarce.PLACES
         return RoomReply(is_admitted, wait_s, scarce, 0.0, 0, 0, "", 0.0)
 
--- a/yarrowwall/dispatch/streams.py
+++ b/yarrowwall/dispatch/streams.py
@@ -1,9 +1,11 @@
 """Relaying of event streams: each event as it comes, each once, in order."""
 
 from collections.abc import Iterator
+from http import HTTPStatus
 from typing import NoReturn
 
-from yarrowwall.dispatch.offer import Offer, OpenAnswer, RelayParts
+from yarrowwall.dispatch.parts import DispatchParts
+from yarrowwall.dispatch.sender import AttemptSender, OpenAnswer
 from yarrowwall.event_stream import Event, EventSplitter
 from yarrowwall.exceptions import AnswerTimeoutError, ConnectionBrokenError, RelayError
 from yarrowwall.model import Attempt, Route
@@ -23,11 +25,13 @@
     one server after another if its route allows that; the caller sees one answer.
     """
 
-    def __init__(self, parts: RelayParts, attempt: Attempt, route: Route, offer: Offer) -> None:
+    def __init__(
+        self, parts: DispatchParts, attempt: Attempt, route: Route, sender: AttemptSender
+    ) -> None:
         self._parts = parts
         self._attempt = attempt
         self._route = route
-        self._offer = offer
+        self._sender = sender
         self._splitter = EventSplitter()
         self._last_event_id = attempt.last_event_id
         self._last_event_at = 0.0
@@ -38,14 +42,14 @@
 
         :raises RefusedError: if none does.
         """
-        opened = self._offer.open(self._last_event_id)
+        opened = self._sender.open(self._last_event_id)
         self._begin(opened)
         return opened
 
     def _begin(self, opened: OpenAnswer) -> None:
         self._splitter = EventSplitter()
         self._last_event_at = opened.sent_at
-        if opened.answer.status == 200:
+        if opened.answer.status == HTTPStatus.OK:
             state = self._parts.directory.state_of(opened.send.server.life)
             if state is not None:
                 state.belief.note_sent(self._attempt.prompt)
@@ -60,7 +64,7 @@
             try:
                 events = self._read()
             except MemoryExhaustedError as error:
-                self._offer.abandon()
+                self._sender.abandon()
                 self._fail(error)
             except RelayError as error:
                 self._go_on_elsewhere(error)
@@ -71,11 +75,11 @@
                 self._note(events)
                 yield events
                 if not self._route.is_stateful:
-                    self._offer.release_answer(sum(len(event.raw) for event in events))
+                    self._sender.release_answer(sum(len(event.raw) for event in events))
 
     def _read(self) -> list[Event] | None:
         """Return the events that arrive next; None at the end of the stream."""
-        opened = self._offer.current
+        opened = self._sender.current
         if opened is None:
             raise ConnectionBrokenError("no server streams")
         data = self._receive(opened)
@@ -90,21 +94,21 @@
 
         :raises AnswerTimeoutError: if it is not, or the time is over.
         """
-        life = opened.send.server.life
+        rules, life = self._sender.rules, opened.send.server.life
         while True:
             try:
-                data = opened.connection.read_some(self._offer.patience())
+                data = opened.connection.read_some(rules.look_again_s(self._parts.now()))
             except AnswerTimeoutError:
-                if not self._offer.is_worth_waiting(life, self._last_event_at):
+                if not rules.is_worth_waiting(life, self._last_event_at, self._parts.now()):
                     raise
                 continue
             self._parts.directory.note_heard(life, self._parts.now())
-            self._offer.hold_answer(len(data))
+            self._sender.hold_answer(len(data))
             return data
 
     def _note(self, events: list[Event]) -> None:
         now = self._parts.now()
-        opened = self._offer.current
+        opened = self._sender.current
         if self.passed and opened is not None:
             gap = (now - self._last_event_at) / len(events)
             self._parts.directory.note_pace(opened.send.server.life, gap, now)
@@ -120,18 +124,18 @@
         :raises RefusedError: if nothing was passed on and no server goes on.
         :raises StreamBrokenError: if something was.
         """
-        opened = self._offer.current
-        self._offer.abandon()
+        opened = self._sender.current
+        self._sender.abandon()
         if opened is not None:
-            self._offer.note_failure(opened.send.server, error)
-        if not self._route.is_resumable or not self._offer.can_go_on():
+            self._sender.note_failure(opened.send.server, error)
+        if not self._sender.rules.may_resume(self._parts.now()):
             self._fail(error)
         try:
-            again = self._offer.open(self._last_event_id)
+            again = self._sender.open(self._last_event_id)
         except RefusedError as refused:
             self._fail(refused)
-        if again.answer.status != 200:
-            self._offer.abandon()
+        if again.answer.status != HTTPStatus.OK:
+            self._sender.abandon()
             self._fail(error)
         self._begin(again)
 
@@ -140,12 +144,12 @@
             raise StreamBrokenError(str(error)) from error
         if isinstance(error, RefusedError):
             raise error
-        raise RefusedError(self._offer.failure(str(error))) from error
+        raise self._sender.refused(str(error)) from error
 
     def finish(self) -> None:
         """Leave the stream, which was read to its end."""
-        self._offer.release()
+        self._sender.release()
 
     def cancel(self) -> None:
         """Cancel the stream at its server."""
-        self._offer.abandon()
+        self._sender.abandon()
--- a/yarrowwall/gateway/admission.py
+++ b/yarrowwall/gateway/admission.py
@@ -1,18 +1,14 @@
 """Which requests are let in: their route, their tenant, and whether that can be told. No I/O."""
 
 from collections.abc import Callable
+from http import HTTPStatus
 
-from yarrowwall.dispatch.offer import RETRY_AFTER_SECONDS
 from yarrowwall.gateway.keys import fingerprint
 from yarrowwall.gateway.routing import RouteTable
-from yarrowwall.model import Attempt, Route
+from yarrowwall.model import Attempt, Route, Service
 from yarrowwall.policy.freshness import TOO_OLD, Freshness
-from yarrowwall.policy.retry_after import return_after_s
-from yarrowwall.refusals import Refusal, RefusedError
-
-_KEY_UNKNOWN = 401
-_NOT_FOUND = 404
-_UNAVAILABLE = 503
+from yarrowwall.policy.retry_after import SHORTAGE_SECONDS, after_outage_s
+from yarrowwall.refusals import Refusal, RefusedError, unavailable
 
 
 class Admission:
@@ -34,15 +30,22 @@
             attempt's key, or the configuration is too old to tell.
         """
         if self.table is None:
-            raise RefusedError(
-                Refusal(_UNAVAILABLE, "no configuration is known", RETRY_AFTER_SECONDS)
-            )
+            raise unavailable("no configuration is known", SHORTAGE_SECONDS)
         route = self.table.match(attempt.host, attempt.path)
         if route is None:
-            raise self._denied(attempt, Refusal(_NOT_FOUND, "no route"))
+            raise self._denied(attempt, Refusal(HTTPStatus.NOT_FOUND, "no route"))
         self._identify(attempt, route, self.table)
         return route
 
+    def service_for(self, route: Route) -> str:
+        """Return the service that the next request of a route goes to; empty if none is known."""
+        return self.table.choose_service(route) if self.table is not None else ""
+
+    def main_service(self, route: Route) -> Service | None:
+        """Return the service that gets most of a route's requests, as it is configured."""
+        services = self.table.configuration.services if self.table is not None else {}
+        return services.get(route.shares[0].service) if route.shares else None
+
     def _identify(self, attempt: Attempt, route: Route, table: RouteTable) -> None:
         """Note whose attempt it is, and so how urgent and how limited."""
         attempt.priority = route.priority
@@ -57,7 +60,8 @@
             if tenant.priority is not None:
                 attempt.priority = tenant.priority
         elif not route.is_public:
-            raise self._denied(attempt, Refusal(_KEY_UNKNOWN, _unknown_key(attempt.api_key)))
+            reason = _unknown_key(attempt.api_key)
+            raise self._denied(attempt, Refusal(HTTPStatus.UNAUTHORIZED, reason))
 
     def _denied(self, attempt: Attempt, refusal: Refusal) -> RefusedError:
         """Return a denial, if the configuration is fresh enough to tell."""
@@ -68,8 +72,8 @@
     def _too_old(self, attempt: Attempt) -> RefusedError:
         now = self._now()
         reason = f"{TOO_OLD} {self._freshness.age_s(now):.2f} s ago"
-        after_s = return_after_s(self._freshness.unserved_s(now), attempt.attempt_id)
-        return RefusedError(Refusal(_UNAVAILABLE, reason, after_s))
+        unserved_s = self._freshness.unserved_s(now)
+        return unavailable(reason, after_outage_s(unserved_s, attempt.attempt_id))
 
 
 def _unknown_key(api_key: str | None) -> str:
--- a/yarrowwall/gateway/bodies.py
+++ b/yarrowwall/gateway/bodies.py
@@ -1,5 +1,6 @@
 """Reads the bodies of callers' requests, each held in the memory's budget as it comes."""
 
+from http import HTTPStatus
 from typing import Any
 
 import eventlet
@@ -9,14 +10,13 @@
 
 #: Bytes of a body that are read at once.
 _PIECE_BYTES = 8 * 1024
-_TOO_LARGE = 413
 
 
 class BodyTooLargeError(InvalidAttemptError):
     """A body has more bytes than callers may send."""
 
     def __init__(self, limit: int) -> None:
-        super().__init__(f"the body exceeds {limit} bytes", _TOO_LARGE)
+        super().__init__(f"the body exceeds {limit} bytes", HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
 
 
 class BodyLateError(CallerGoneError):
--- /dev/null
+++ b/yarrowwall/gateway/exchange.py
@@ -0,0 +1,157 @@
+"""One request of a caller: admitted, read, and answered whole or as a stream."""
+
+import traceback
+from collections.abc import Callable, Iterator
+from typing import Any
+
+from yarrowwall import decisions
+from yarrowwall.dispatch.sender import AttemptSender, Sending
+from yarrowwall.dispatch.whole import relay_whole
+from yarrowwall.exceptions import CallerGoneError, InvalidAttemptError
+from yarrowwall.gateway.bodies import BodyLateError, RequestBody
+from yarrowwall.gateway.caller_watch import CallerWatch
+from yarrowwall.gateway.http_server import close_after_answer
+from yarrowwall.gateway.response import Response
+from yarrowwall.gateway.state import GatewayState
+from yarrowwall.gateway.turn import AnswerCutError, Turn
+from yarrowwall.model import Attempt, RequestKind, Route
+from yarrowwall.policy.memory_budget import MemoryExhaustedError
+from yarrowwall.policy.retry_after import SHORTAGE_SECONDS
+from yarrowwall.refusals import Refusal, RefusedError, unavailable
+
+
+class Exchange:
+    """One request of a caller and its answer."""
+
+    def __init__(
+        self, gateway: GatewayState, environ: dict[str, Any], start_response: Callable[..., Any]
+    ) -> None:
+        self._gateway = gateway
+        self._parts = gateway.parts
+        self._log = gateway.parts.dispatch.decisions
+        self._now = gateway.parts.dispatch.now
+        self._environ = environ
+        self._hold = gateway.parts.dispatch.memory.open()
+        self._response = Response(
+            gateway.parts, environ, start_response, lambda: gateway.sends_callers_away
+        )
+
+    def run(self) -> Iterator[bytes]:
+        """Return the body of the answer; cancels whatever runs if it is closed early."""
+        self._gateway.running += 1
+        watch = CallerWatch(self._environ["eventlet.input"].get_socket())
+        try:
+            yield from self._answer(watch)
+        except CallerGoneError:
+            response = self._response
+            self._log.write(decisions.CallerLeft(response.attempt_id, response.lasted_s))
+            raise AnswerCutError from None
+        except GeneratorExit:
+            self._response.note_ended_early(self._hold)
+            raise
+        except (AnswerCutError, OSError):
+            raise
+        except Exception:
+            trace = traceback.format_exc()
+            self._log.write(decisions.InternalFault(self._response.attempt_id, trace))
+            raise
+        finally:
+            watch.stop()
+            self._hold.close()
+            self._gateway.running -= 1
+
+    def _answer(self, watch: CallerWatch) -> Iterator[bytes]:
+        try:
+            attempt = self._parts.callers.read_attempt(self._environ, self._response.arrived_at)
+            self._response.attempt_id = attempt.attempt_id
+            self._gateway.wait_until_informed()
+            route = self._gateway.admission.match(attempt)
+            end = min(attempt.deadline, attempt.arrived_at + route.timeout)
+            attempt.body = self._read_body(end)
+        except InvalidAttemptError as error:
+            yield self._response.refuse(Refusal(error.status, str(error)))
+            return
+        except RefusedError as error:
+            yield self._response.refuse(error.refusal)
+            return
+        watch.start()
+        self._note_admitted(attempt, route, end)
+        try:
+            if not self._gateway.has_time_for(self._now(), end):
+                raise unavailable("stopping", SHORTAGE_SECONDS)
+            if route.kind is RequestKind.STREAM:
+                yield from self._stream(attempt, route, end)
+            else:
+                yield self._whole(attempt, route, end)
+        except RefusedError as error:
+            yield self._response.refuse(error.refusal)
+
+    def _read_body(self, end: float) -> bytes:
+        """Return the body of the request.
+
+        :param end: when the request's time is over, and that of a caller that sends slowly.
+        :raises RefusedError: if there is no room for it.
+        """
+        limit = self._parts.limits.current.body_bytes
+        body = RequestBody(self._environ, self._parts.dispatch.memory, self._hold, limit)
+        try:
+            return body.read(max(end - self._now(), 0.0))
+        except MemoryExhaustedError as error:
+            # The rest of it is not read.
+            close_after_answer(self._environ)
+            raise unavailable(str(error), SHORTAGE_SECONDS) from error
+        except BodyLateError:
+            response = self._response
+            self._log.write(
+                decisions.CallerGivenUp(response.attempt_id, response.lasted_s, self._hold.size)
+            )
+            raise
+
+    def _note_admitted(self, attempt: Attempt, route: Route, end: float) -> None:
+        table = self._gateway.table
+        self._log.write(
+            decisions.AttemptAdmitted(
+                attempt.attempt_id,
+                attempt.program.program_id if attempt.program else None,
+                route.name,
+                route.kind.value,
+                table.configuration.version if table is not None else 0,
+                end - attempt.arrived_at,
+                attempt.tenant,
+                self._gateway.configuration_age_s,
+                _finish_in_s(attempt),
+            )
+        )
+
+    def _whole(self, attempt: Attempt, route: Route, end: float) -> bytes:
+        if attempt.program is not None:
+            self._parts.program_sizes.note_lookup()
+        allowance = self._parts.quotas.allowance(attempt)
+        allowance.begin()
+        try:
+            service = self._gateway.admission.service_for(route)
+            sending = Sending(attempt, route, service, end, attempt.body, allowance, self._hold)
+            sender = AttemptSender(self._parts.dispatch, sending)
+            answer, body = relay_whole(self._parts.dispatch, route, sender)
+            return self._response.pass_on(answer, body, sender.log.tried[-1])
+        finally:
+            allowance.close()
+
+    def _stream(self, attempt: Attempt, route: Route, end: float) -> Iterator[bytes]:
+        turn = Turn(self._gateway, attempt, route, end, self._hold, self._response)
+        loads = self._parts.dispatch.loads.ask()
+        allowance = self._parts.quotas.allowance(attempt)
+        allowance.begin()
+        try:
+            grant = turn.open()
+            loads.wait()
+            yield from turn.run(grant, allowance)
+        finally:
+            allowance.close()
+
+
+def _finish_in_s(attempt: Attempt) -> float | None:
+    """Return the seconds that an attempt's program had left when it arrived."""
+    if attempt.program is None or attempt.program.finish_at is None:
+        return None
+    return attempt.program.finish_at - attempt.arrived_at
--- /dev/null
+++ b/yarrowwall/gateway/parts.py
@@ -0,0 +1,35 @@
+"""What all requests of a gateway share."""
+
+from dataclasses import dataclass, field
+
+from yarrowwall.dispatch.parts import DispatchParts
+from yarrowwall.gateway.http_server import ServerLimits
+from yarrowwall.policy.freshness import Freshness
+from yarrowwall.policy.program_sizes import ProgramSizes
+from yarrowwall.ports.platform import CallerProtocol
+from yarrowwall.ports.programs import ProgramLedger
+from yarrowwall.ports.quotas import QuotaSource
+from yarrowwall.ports.rooms import RoomSource
+
+
+@dataclass
+class GatewayParts:
+    """What all requests of a gateway share.
+
+    :param dispatch: the way to servers.
+    :param callers: reads callers' requests, and writes the heads of answers.
+    :param programs: budgets and turns of programs.
+    :param quotas: limits of tenants.
+    :param rooms: whether there is room for new programs.
+    :param limits: bounds on what callers may send.
+    :param freshness: the age of the configuration in force.
+    """
+
+    dispatch: DispatchParts
+    callers: CallerProtocol
+    programs: ProgramLedger
+    quotas: QuotaSource
+    rooms: RoomSource
+    limits: ServerLimits
+    freshness: Freshness
+    program_sizes: ProgramSizes = field(default_factory=ProgramSizes)
--- a/yarrowwall/machine/gateway_role.py
+++ b/yarrowwall/machine/gateway_role.py
@@ -12,11 +12,12 @@
 from yarrowwall.capacity.load_reports import LoadReporter
 from yarrowwall.capacity.program_rooms import ProgramRooms
 from yarrowwall.decisions import DecisionLog
-from yarrowwall.dispatch.offer import RelayParts
+from yarrowwall.dispatch.parts import DispatchParts
 from yarrowwall.dispatch.pool import ConnectionPool
 from yarrowwall.dispatch.server_list import ServerList
 from yarrowwall.gateway.gateway import Gateway
 from yarrowwall.gateway.http_server import ServerLimits, serve
+from yarrowwall.gateway.parts import GatewayParts
 from yarrowwall.machine.listeners import EarlyListeners
 from yarrowwall.machine.settings import GatewaySettings, MachineSettings
 from yarrowwall.messages.relaying import Neighbour
@@ -73,14 +74,6 @@
         self._directory.on_removed = self._pool.end_life
         self._limits = ServerLimits()
         self._memory = MemoryBudget(MemoryBounds.of_machine(settings.memory_mb))
-        parts = RelayParts(
-            self._directory,
-            self._pool,
-            adapter.servers,
-            log,
-            time.monotonic,
-            memory=self._memory,
-        )
         self._store = store
         self._views = GroupViews(self._note_view)
         links = self._links = RelayedLinkTable(settings.node_id, log, time.monotonic)
@@ -94,13 +87,30 @@
         self._loads = LoadReporter(
             settings.node_id, self._directory, self._views, links, time.monotonic, programs
         )
-        parts.loads = self._loads
-        parts.rooms = ProgramRooms(self._directory, self._loads, programs, log, time.monotonic)
+        rooms = ProgramRooms(self._directory, self._loads, programs, log, time.monotonic)
         self._quotas = QuotaBorrower(settings.zone, self._views, links, log, time.monotonic)
-        parts.quotas = self._quotas
         bounds = settings.bounds
         self._freshness = Freshness(bounds.revocation_s, bounds.configuration_s)
-        self.gateway = Gateway(parts, adapter.callers, self._ledger, self._limits, self._freshness)
+        dispatch = DispatchParts(
+            self._directory,
+            self._pool,
+            adapter.servers,
+            self._loads,
+            self._memory,
+            log,
+            time.monotonic,
+        )
+        self.gateway = Gateway(
+            GatewayParts(
+                dispatch,
+                adapter.callers,
+                self._ledger,
+                self._quotas,
+                rooms,
+                self._limits,
+                self._freshness,
+            )
+        )
         documents = adapter.documents
         self._probe = FreshnessProbe(
             settings.node_id,
--- a/yarrowwall/model.py
+++ b/yarrowwall/model.py
@@ -271,12 +271,3 @@
     belongs: bool
     is_sealed: bool
     keep_alive: float | None
-
-
-@dataclass
-class SendLog:
-    """The servers that an attempt was offered to."""
-
-    tried: list[str] = field(default_factory=list)
-    offered: int = 0
-    may_have_run: bool = False
--- a/yarrowwall/platform/callers.py
+++ b/yarrowwall/platform/callers.py
@@ -83,8 +83,8 @@
     def refusal_headers(self, attempt_id: str, refusal: Refusal) -> list[Header]:
         """Return the headers of an answer of the system itself."""
         headers = [(names.ATTEMPT_ID, attempt_id)] if attempt_id else []
-        if refusal.retry_after is not None:
-            headers.append((names.RETRY_AFTER, f"{refusal.retry_after:.3f}"))
+        if refusal.retry_after_s is not None:
+            headers.append((names.RETRY_AFTER, f"{refusal.retry_after_s:.3f}"))
         return headers
 
 
--- a/yarrowwall/platform/servers.py
+++ b/yarrowwall/platform/servers.py
@@ -1,9 +1,10 @@
 """What the platform's servers are sent, and what their answers mean."""
 
+from http import HTTPStatus
+
 from yarrowwall.model import Answer, Attempt, ResponseHead, Send
 from yarrowwall.platform import names
 
-_MISDIRECTED = 421
 _LEAST_PRIORITY = 9
 
 
@@ -31,11 +32,11 @@
         """Return what a response head means."""
         values = {name.lower(): value for name, value in head.headers}
         echoed = values.get(names.ATTEMPT_ID.lower())
-        vouched = names.NOT_EXECUTED.lower() in values or head.status == _MISDIRECTED
+        is_misdirected = head.status == HTTPStatus.MISDIRECTED_REQUEST
         return Answer(
             status=head.status,
             headers=list(head.headers),
-            was_not_run=vouched,
+            was_not_run=is_misdirected or names.NOT_EXECUTED.lower() in values,
             belongs=echoed is None or echoed == attempt.attempt_id,
             is_sealed=names.SEAL.lower() in values,
             keep_alive=_keep_alive(values.get("keep-alive")),
--- a/yarrowwall/platform/store.py
+++ b/yarrowwall/platform/store.py
@@ -4,6 +4,7 @@
 import math
 import time
 from collections.abc import Callable, Sequence
+from http import HTTPStatus
 from typing import Any, NamedTuple
 from urllib.parse import quote
 
@@ -34,9 +35,6 @@
 
 _WATCH_LANE = "watch "
 _JSON = "application/json"
-_NOT_FOUND = 404
-_CONFLICT = 409
-_GONE = 410
 
 
 class _Opened(NamedTuple):
@@ -96,7 +94,7 @@
         finally:
             self._watching.pop(lane, None)
             self._interrupted.discard(lane)
-        if status == _GONE:
+        if status == HTTPStatus.GONE:
             raise HistoryForgottenError(f"{kind} since {revision}")
         changes = [
             Change(read_object(event["object"]), bool(event["gone"]))
@@ -130,7 +128,7 @@
         """Return an object as it stands now; None if there is none."""
         path = f"/objects/{kind}/{quote(name, safe='')}"
         status, document = self._call("GET", path, lane=f"get {kind}", timeout=timeout_s)
-        return None if status == _NOT_FOUND else read_object(document)
+        return None if status == HTTPStatus.NOT_FOUND else read_object(document)
 
     def create(self, kind: str, name: str, spec: dict[str, Any]) -> StoredObject:
         """Make an object."""
@@ -199,9 +197,9 @@
 
 
 def _document(method: str, path: str, status: int, data: bytes) -> dict[str, Any]:
-    if status == _GONE or (status == _NOT_FOUND and method == "GET"):
+    if status == HTTPStatus.GONE or (status == HTTPStatus.NOT_FOUND and method == "GET"):
         return {}
-    if status == _CONFLICT:
+    if status == HTTPStatus.CONFLICT:
         raise ConflictError(f"{method} {path}")
     if not 200 <= status < 300:
         raise ObjectStoreError(f"{method} {path}: status {status}")
--- a/yarrowwall/policy/program_admission.py
+++ b/yarrowwall/policy/program_admission.py
@@ -7,8 +7,8 @@
 
 from collections import OrderedDict
 
-from yarrowwall.hashing import fraction_of
 from yarrowwall.messages.capacity import AskRoom, RoomReply, Scarce
+from yarrowwall.policy.retry_after import after_turn_s
 from yarrowwall.policy.returns import Ahead, ReturnOrder, Standing
 from yarrowwall.policy.room import Forecast, UnderWay, forecast, free_places
 from yarrowwall.policy.tenant_shares import TenantShares
@@ -26,8 +26,6 @@
 KEPT_SHARE = 0.08
 #: Programs in time that may go before one that cannot be: it is worth less, and not nothing.
 LATE_EVERY = 3
-#: Bounds of the seconds after which a refused program should come back.
-LEAST_RETRY_SECONDS = 0.1
 #: Seconds of admissions from which the rate is told, and that must have passed since the first
 #: refusal; before, programs are held to end once in the time that they have.
 RATE_SECONDS = 1.0
@@ -116,17 +114,10 @@
         if now_s + wait_s >= late_from_s:
             # It will be late and go behind all that are in time.
             wait_s = (len(self._returns) + 1) / rate_per_s
-        wait_s = max(LEAST_RETRY_SECONDS, min(wait_s, self._spread(ask)))
+        wait_s = after_turn_s(wait_s, ask.patience_s, ask.program)
         self._returns.note_refused(ask.program, ask.tenant, late_from_s, now_s + wait_s)
         return wait_s
 
-    def _spread(self, ask: AskRoom) -> float:
-        """Return the longest that a caller is told to wait.
-
-        Those whose turn comes later than their callers would wait come one after another too.
-        """
-        return ask.patience_s * (0.75 + 0.25 * fraction_of(ask.program))
-
     def _rate_per_s(self, ask: AskRoom, under_way: UnderWay, now_s: float) -> float:
         """Return how many programs are expected to be admitted in a second."""
         since_s = self._contended_since_s
--- a/yarrowwall/policy/retry_after.py
+++ b/yarrowwall/policy/retry_after.py
@@ -1,31 +1,87 @@
-"""When callers should come back after a refusal that ends with an outage. No I/O.
+"""When callers should come back after a refusal: each ``Retry-After`` is decided here. No I/O.
 
-How long it will last is not known. Callers have few tries: a turn is sent up to three times,
-0.1 to 0.4 s apart, and each time comes back once after Retry-After, for which it waits a third
-of its remaining time at most. Whoever is told to come back too early three times is lost.
+Callers have few tries: a turn is sent up to three times, 0.1 to 0.4 s apart, and each time comes
+back once after ``Retry-After``, for which it waits a part of its remaining time at most. Whoever
+is told to come back too early three times is lost; who comes back too late is late. All answers
+are seconds.
 """
 
-from yarrowwall.hashing import fraction
-
-#: Seconds until the return in the first moment of an outage, and what each second that it has
-#: lasted adds: an outage of unknown length is most likely to last as long again, and half of
-#: that, three times, bridges it. The most is what callers honour of a deadline of 5 s.
-#: Share of turns that find service again after 1, 2, 3, 4, 6 and 8 s without it: 1.00, 1.00,
-#: 1.00, 0.94, 0.78, 0.63, 0.5 to 0.8 s after its return; always 0.15 s: 0.92, 0.48, 0.33, 0.24,
-#: 0.16, 0.12, 0.1 s after it; as long as it has lasted, 1 s at most: 1.00, 0.98, 0.89, 0.81,
-#: 0.58, 0.43, 0.5 s after it (2,000 turns that come at any moment, with the tries above).
-FIRST_SECONDS = 0.5
-GROWTH = 0.5
-MOST_SECONDS = 1.6
+from yarrowwall.hashing import fraction, fraction_of
+
+#: Part of its remaining time that a caller waits before it comes back; told to wait for longer, it
+#: comes sooner than it was told.
+HONOURED_SHARE = 1.0 / 3.0
+
+#: After a shortage that is over in a moment, or that another gateway does not have: the servers
+#: are full, memory is short, the gateway stops, the first configuration is not read yet.
+SHORTAGE_SECONDS = 0.15
+
+#: In the first moment of an outage, and what each second that it has lasted adds: an outage of
+#: unknown length is most likely to last as long again, and half of that, three times, bridges it.
+OUTAGE_FIRST_SECONDS = 0.5
+OUTAGE_GROWTH = 0.5
+#: The most is what callers honour of a deadline of 5 s.
+OUTAGE_MOST_SECONDS = 1.6
 #: Part by which returns are spread to both sides, so that not all come in one moment.
-SPREAD = 0.2
+OUTAGE_SPREAD = 0.2
 
+#: While a tenant's limit is used up: not before another credit can have been given back, and
+#: before most callers' time is over.
+LIMIT_LEAST_SECONDS = 0.05
+LIMIT_MOST_SECONDS = 2.0
 
-def return_after_s(lasted_s: float, caller: str) -> float:
-    """Return after how many seconds a caller should come back.
+#: While servers have no room for a new program: less than a turn takes is no use.
+ROOM_LEAST_SECONDS = 0.1
+#: Part of a caller's patience over which those are spread whose turn comes later than that.
+ROOM_SPREAD = 0.25
+#: The longest where nobody knows when there is room: about as long as programs take to end.
+UNKNOWN_ROOM_MOST_SECONDS = 1.0
+UNKNOWN_ROOM_SPREAD = 0.5
+
+
+def patience_s(left_s: float) -> float:
+    """Return for how long a caller waits at most before it comes back.
+
+    :param left_s: until its deadline.
+    """
+    return max(0.0, left_s * HONOURED_SHARE)
+
+
+def after_outage_s(lasted_s: float, caller: str) -> float:
+    """Return when to come back after a refusal that ends with an outage of unknown length.
 
     :param lasted_s: for how long there has been no service.
     :param caller: by which returns are spread.
     """
-    wanted_s = min(FIRST_SECONDS + GROWTH * max(lasted_s, 0.0), MOST_SECONDS)
-    return wanted_s * (1.0 - SPREAD + 2.0 * SPREAD * fraction("return", caller))
+    wanted_s = min(OUTAGE_FIRST_SECONDS + OUTAGE_GROWTH * max(lasted_s, 0.0), OUTAGE_MOST_SECONDS)
+    return wanted_s * (1.0 - OUTAGE_SPREAD + 2.0 * OUTAGE_SPREAD * fraction("return", caller))
+
+
+def after_limit_s(free_in_s: float) -> float:
+    """Return when to come back while a tenant's limit is used up.
+
+    :param free_in_s: until a lender expects to have room.
+    """
+    return min(max(free_in_s, LIMIT_LEAST_SECONDS), LIMIT_MOST_SECONDS)
+
+
+def after_turn_s(turn_in_s: float, patience: float, program: int) -> float:
+    """Return when a program should come back that waits for room among others.
+
+    :param turn_in_s: until it should be its turn.
+    :param patience: seconds that its caller waits; who would wait longer comes one after another.
+    :param program: by which those are spread.
+    """
+    longest_s = patience * (1.0 - ROOM_SPREAD + ROOM_SPREAD * fraction_of(program))
+    return max(ROOM_LEAST_SECONDS, min(turn_in_s, longest_s))
+
+
+def after_unknown_room_s(patience: float, program: int) -> float:
+    """Return when a program should come back if nobody knows when there is room.
+
+    :param patience: seconds that its caller waits.
+    :param program: by which returns are spread.
+    """
+    longest_s = min(patience, UNKNOWN_ROOM_MOST_SECONDS)
+    spread = UNKNOWN_ROOM_SPREAD * fraction_of(program)
+    return longest_s * (1.0 - UNKNOWN_ROOM_SPREAD + spread)
--- a/yarrowwall/ports/loads.py
+++ b/yarrowwall/ports/loads.py
@@ -1,4 +1,4 @@
-"""What all other gateways have under way, as the relay asks for it."""
+"""What all other gateways have under way, as a gateway asks for it."""
 
 from abc import ABC, abstractmethod
 
@@ -28,14 +28,3 @@
 
     def wait(self) -> None:
         """Return at once."""
-
-
-class NoLoads(LoadSource):
-    """Knows of this gateway alone."""
-
-    def ask(self) -> LoadQuestion:
-        """Ask nobody."""
-        return NothingAsked()
-
-    def tell(self) -> None:
-        """Tell nobody."""
--- a/yarrowwall/ports/quotas.py
+++ b/yarrowwall/ports/quotas.py
@@ -1,4 +1,4 @@
-"""Credits for sending requests of a tenant, as the relay asks for them."""
+"""Credits for sending requests of a tenant, as a gateway asks for them."""
 
 from abc import ABC, abstractmethod
 
@@ -61,11 +61,3 @@
 
     def close(self) -> None:
         """Give nothing back."""
-
-
-class NoQuotas(QuotaSource):
-    """Knows no limits."""
-
-    def allowance(self, attempt: Attempt) -> Allowance:
-        """Return an allowance without a limit."""
-        return Unlimited()
--- a/yarrowwall/ports/rooms.py
+++ b/yarrowwall/ports/rooms.py
@@ -1,4 +1,4 @@
-"""Room for new programs, as the relay asks for it."""
+"""Room for new programs, as a gateway asks for it."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Iterator
@@ -37,18 +37,3 @@
     @contextmanager
     def turn(self, attempt: Attempt, service: Service | None) -> Iterator[None]:
         """Count a turn as under way until the context is left."""
-
-
-class AlwaysRoom(RoomSource):
-    """Lets every program begin."""
-
-    def begin_program(self, new: NewProgram) -> None:
-        """Ask nobody."""
-
-    def did_not_begin(self, new: NewProgram) -> None:
-        """Tell nobody."""
-
-    @contextmanager
-    def turn(self, attempt: Attempt, service: Service | None) -> Iterator[None]:
-        """Count nothing."""
-        yield
--- a/yarrowwall/quotas/borrowing.py
+++ b/yarrowwall/quotas/borrowing.py
@@ -5,6 +5,7 @@
 """
 
 from collections.abc import Callable
+from http import HTTPStatus
 
 from yarrowwall import decisions
 from yarrowwall.decisions import DecisionLog
@@ -16,12 +17,12 @@
 )
 from yarrowwall.messages.replicated import Member
 from yarrowwall.model import Attempt
-from yarrowwall.policy.retry_after import return_after_s
+from yarrowwall.policy.retry_after import after_limit_s, after_outage_s
 from yarrowwall.ports.quotas import Allowance, QuotaSource, Unlimited
 from yarrowwall.quotas.credits import Credit, CreditStock
 from yarrowwall.quotas.order import LenderOrder
 from yarrowwall.quotas.questions import Question, Questions
-from yarrowwall.refusals import Refusal, RefusedError
+from yarrowwall.refusals import Refusal, RefusedError, unavailable
 from yarrowwall.replication.group_views import GroupViews
 from yarrowwall.replication.rpc import LinkTable
 
@@ -37,13 +38,6 @@
 #: Seconds to wait for any lender. All replicas may be slow at once, and a refusal may end a
 #: program; the reservation of a turn waits as long.
 MOST_WAIT_SECONDS = 0.6
-#: Bounds of the seconds after which callers that were refused should come back: not before another
-#: credit can have been given back, and before most callers' time is over.
-LEAST_RETRY_SECONDS = 0.05
-MOST_RETRY_SECONDS = 2.0
-
-_TOO_MANY = 429
-_UNAVAILABLE = 503
 
 
 class QuotaBorrower(QuotaSource):
@@ -199,7 +193,7 @@
         :raises RefusedError: if none has room, or none answers.
         """
         end_s = self._borrower.now() + self._patience_s()
-        retry_after_s: float | None = None
+        free_in_s: float | None = None
         while self._questions.open or self._ask_next():
             question = self._next_answer(end_s)
             if question is None:
@@ -209,18 +203,17 @@
                 self._note_silent(question.lender)
             elif reply.status is QuotaStatus.NO_ROOM:
                 self._note_exhausted(question.lender, reply.retry_after_s)
-                retry_after_s = min(retry_after_s or reply.retry_after_s, reply.retry_after_s)
+                free_in_s = min(free_in_s or reply.retry_after_s, reply.retry_after_s)
             else:
                 credit = self._take(question, reply)
                 if credit is not None:
                     return credit
         asked = len(self._asked)
         self._begin_anew()
-        if retry_after_s is None:
+        if free_in_s is None:
             reason = f"no replica lends of the limit of {self._tenant}"
-            after_s = return_after_s(0.0, self._attempt_id)
-            raise RefusedError(Refusal(_UNAVAILABLE, reason, after_s))
-        raise self._refused(asked, retry_after_s, begins=False)
+            raise unavailable(reason, after_outage_s(0.0, self._attempt_id))
+        raise self._refused(asked, free_in_s, begins=False)
 
     def _patience_s(self) -> float:
         """Return for how long to wait for any lender: shortly if none is held to answer."""
@@ -265,10 +258,10 @@
         now_s = self._borrower.now()
         self._borrower.order.note_exhausted(lender, self._tenant, after_s, now_s)
 
-    def _refused(self, asked: int, retry_after_s: float, begins: bool) -> RefusedError:
-        retry_after_s = min(max(retry_after_s, LEAST_RETRY_SECONDS), MOST_RETRY_SECONDS)
+    def _refused(self, asked: int, free_in_s: float, begins: bool) -> RefusedError:
+        retry_after_s = after_limit_s(free_in_s)
         self._borrower.log.write(
             decisions.QuotaRefused(self._attempt_id, self._tenant, asked, begins, retry_after_s)
         )
         reason = f"the limit of {self._tenant} is used up"
-        return RefusedError(Refusal(_TOO_MANY, reason, retry_after_s))
+        return RefusedError(Refusal(HTTPStatus.TOO_MANY_REQUESTS, reason, retry_after_s))
