--- a/features/steps/placement_steps.py
+++ b/features/steps/placement_steps.py
@@ -20,7 +20,8 @@
 )
 from yarrowwall.model import EngineTraits, PromptPart, Server, ServerLife, Service
 from yarrowwall.policy.programs_under_way import ProgramsUnderWay
-from yarrowwall.policy.servers import ServerDirectory, Wish
+from yarrowwall.policy.server_choice import PlacementRequest, ServerChooser
+from yarrowwall.policy.servers import ServerDirectory
 from yarrowwall.replication.group_views import GroupViews
 from yarrowwall.replication.table import RecordTable
 
@@ -41,7 +42,8 @@
 def chosen(context: Context, engines: ServerDirectory, program: str, last: str = "") -> str:
     """Return the engine chosen for a turn of a program."""
     prompt = (SHARED, PromptPart(f"own-{program}", 4_000))
-    choice = engines.choose(SERVICE, (), context.now, Wish(prompt, program, last))
+    request = PlacementRequest(prompt, program, last)
+    choice = ServerChooser(engines).choose(SERVICE, (), context.now, request)
     assert choice is not None
     return choice.server.server_id
 
--- a/features/steps/server_entry_steps.py
+++ b/features/steps/server_entry_steps.py
@@ -32,10 +32,11 @@
 from yarrowwall.model import Service
 from yarrowwall.platform.documents import PlatformDocuments
 from yarrowwall.platform.objects import read_json, read_object
-from yarrowwall.policy.servers import ServerDirectory, Wish
+from yarrowwall.policy.server_choice import PlacementRequest, ServerChooser
+from yarrowwall.policy.servers import ServerDirectory
 from yarrowwall.ports.object_store import Change, StoredObject
 
-NEVER = Wish((), "", "")
+NEVER = PlacementRequest((), "", "")
 
 
 def _quiet_log(noted: list[Decision]) -> DecisionLog:
@@ -130,7 +131,7 @@
 @then('"{name}" is chosen once a configuration has its service')
 def chosen_later(context: Context, name: str) -> None:
     context.services = {**context.services, "later": Service("later", None)}
-    choice = context.directory.choose("later", (), NOW_S, NEVER)
+    choice = ServerChooser(context.directory).choose("later", (), NOW_S, NEVER)
     assert choice is not None
     assert choice.server.server_id == name
 
--- a/features/steps/server_life_steps.py
+++ b/features/steps/server_life_steps.py
@@ -22,7 +22,8 @@
 from yarrowwall.exceptions import ConnectionBrokenError, RelayError
 from yarrowwall.model import EngineTraits, PromptPart, Server, ServerLife, Service
 from yarrowwall.policy.lives import NewestLives
-from yarrowwall.policy.servers import NEW_TOKENS, ServerDirectory, Wish
+from yarrowwall.policy.server_choice import NEW_TOKENS, PlacementRequest, ServerChooser
+from yarrowwall.policy.servers import ServerDirectory
 
 NOW_S = 100.0
 SERVICES = {"models": Service("models", EngineTraits(16, 500_000, 10))}
@@ -142,35 +143,40 @@
 
 @then('a turn whose predecessor ran in life {born:d} of "{name}" has {what} to read there')
 def to_read(context: Context, born: int, name: str, what: str) -> None:
-    wish = Wish(PROMPT, "program", ServerLife(name, born).text)
+    request = PlacementRequest(PROMPT, "program", ServerLife(name, born).text)
     lives = context.directory
     # With others of its service, it is no program's home by being the only one.
     for other in ("e2", "e3", "e4", "e5"):
         lives.put(told(ServerLife(other, born)), SERVICES, NOW_S)
-    found = lives._reading(list(lives.states.values()), _matched(lives, wish))
+    chooser = ServerChooser(lives)
+    found = chooser._reading(list(lives.states.values()), _matched(chooser, request))
     own = PROMPT[1].tokens
     expected = {"little": NEW_TOKENS, "all": own}[what]
-    assert found[name] == expected or (what == "all" and _is_home(lives, wish, name)), found
+    assert found[name] == expected or (what == "all" and _is_home(chooser, lives, request, name)), (
+        found
+    )
 
 
-def _matched(directory: ServerDirectory, wish: Wish) -> Wish:
-    """Return a wish as the choice understands it."""
-    seen: list[Wish] = []
-    reading = directory._reading
+def _matched(chooser: ServerChooser, request: PlacementRequest) -> PlacementRequest:
+    """Return a request as the choice understands it."""
+    seen: list[PlacementRequest] = []
+    reading = chooser._reading
 
-    def note(states: Any, understood: Wish) -> dict[str, int]:
+    def note(states: Any, understood: PlacementRequest) -> dict[str, int]:
         seen.append(understood)
         return reading(states, understood)
 
-    with patch.object(directory, "_reading", note):
-        directory.choose("models", (), NOW_S, wish)
+    with patch.object(chooser, "_reading", note):
+        chooser.choose("models", (), NOW_S, request)
     return seen[0]
 
 
-def _is_home(directory: ServerDirectory, wish: Wish, name: str) -> bool:
+def _is_home(
+    chooser: ServerChooser, directory: ServerDirectory, request: PlacementRequest, name: str
+) -> bool:
     states = directory.states.values()
-    unknown = wish._replace(last_server="")
-    home = min(states, key=lambda state: directory._preference(state, unknown))
+    unknown = request._replace(last_server="")
+    home = min(states, key=lambda state: chooser._preference(state, unknown))
     return home.server.server_id == name
 
 
--- a/features/steps/zone_cut_steps.py
+++ b/features/steps/zone_cut_steps.py
@@ -10,7 +10,7 @@
 from features.support.schedules import derandomized
 from features.support.zone_model import run_zone_schedules
 from features.support.zone_mutants import MUTANTS
-from yarrowwall.budgets.budget_parts import (
+from yarrowwall.policy.budget_parts import (
     ClaimState,
     PartReading,
     Verdict,
--- a/features/support/placement_model.py
+++ b/features/support/placement_model.py
@@ -14,7 +14,8 @@
 
 from yarrowwall.capacity.load_board import LoadBoard
 from yarrowwall.model import EngineTraits, PromptPart, Server, ServerLife, Service
-from yarrowwall.policy.servers import ServerDirectory, Wish
+from yarrowwall.policy.server_choice import PlacementRequest, ServerChooser
+from yarrowwall.policy.servers import ServerDirectory
 from yarrowwall.policy.urgency import RANK_SECONDS
 
 SERVICE = "models"
@@ -105,6 +106,7 @@
         self._board = LoadBoard()
         self._engines = {f"e{number}": Engine(f"e{number}") for number in range(ENGINES)}
         self._gateways = [self._gateway(number) for number in range(GATEWAYS)]
+        self._choosers = [ServerChooser(known) for known in self._gateways]
         self.outcome = Outcome()
 
     def _gateway(self, number: int) -> ServerDirectory:
@@ -174,8 +176,8 @@
             PromptPart(program.shared, SHARED_TOKENS),
             PromptPart(program.name, program.tokens),
         )
-        wish = Wish(prompt, program.name, program.last_server)
-        choice = known.choose(SERVICE, (), self._now_s, wish)
+        request = PlacementRequest(prompt, program.name, program.last_server)
+        choice = self._choosers[gateway].choose(SERVICE, (), self._now_s, request)
         assert choice is not None
         name = choice.server.server_id
         known.started(ServerLife(name))
--- a/features/support/zone_mutants.py
+++ b/features/support/zone_mutants.py
@@ -5,13 +5,14 @@
 from typing import Any
 from unittest.mock import patch
 
-from yarrowwall.budgets import budget_parts, budget_requests, reservations
-from yarrowwall.budgets.budget_parts import ClaimState, PartReading, Parts, Verdict
+from yarrowwall.budgets import budget_requests, reservations
 from yarrowwall.budgets.ledger import LedgerGrant
 from yarrowwall.budgets.reservations import Reservations
 from yarrowwall.budgets.turn_store import TurnStore, _Found
 from yarrowwall.budgets.turns import Turn
 from yarrowwall.messages.replicated import StoredRecord
+from yarrowwall.policy import budget_parts
+from yarrowwall.policy.budget_parts import ClaimState, PartReading, Parts, Verdict
 from yarrowwall.replication import quorum_client
 from yarrowwall.replication.exceptions import NoQuorumError
 from yarrowwall.replication.views import is_zone_group
--- a/yarrowwall/budgets/budget_requests.py
+++ b/yarrowwall/budgets/budget_requests.py
@@ -2,7 +2,8 @@
 
 from typing import NamedTuple
 
-from yarrowwall.budgets.budget_parts import (
+from yarrowwall.model import ProgramContext
+from yarrowwall.policy.budget_parts import (
     ClaimState,
     PartReading,
     Parts,
@@ -10,7 +11,6 @@
     is_spent,
     pieces_of,
 )
-from yarrowwall.model import ProgramContext
 from yarrowwall.replication.rounds import Amount
 
 _BUDGET_PREFIX = "budget/"
--- a/yarrowwall/budgets/reservations.py
+++ b/yarrowwall/budgets/reservations.py
@@ -14,14 +14,6 @@
 import eventlet
 
 from yarrowwall import decisions
-from yarrowwall.budgets.budget_parts import (
-    ClaimState,
-    Verdict,
-    divide,
-    holds_beside_all,
-    judge,
-    spread,
-)
 from yarrowwall.budgets.budget_requests import (
     TRACE_PREFIX,
     BudgetRequest,
@@ -36,6 +28,14 @@
 from yarrowwall.decisions import DecisionLog
 from yarrowwall.exceptions import BudgetExhaustedError, StoreUncertainError
 from yarrowwall.messages.replicated import StoredRecord
+from yarrowwall.policy.budget_parts import (
+    ClaimState,
+    Verdict,
+    divide,
+    holds_beside_all,
+    judge,
+    spread,
+)
 from yarrowwall.replication.exceptions import NoQuorumError
 from yarrowwall.replication.quorum_client import OPERATION_SECONDS, OwnerReading, QuorumClient
 from yarrowwall.replication.rounds import Amount, merged
--- a/yarrowwall/dispatch/parts.py
+++ b/yarrowwall/dispatch/parts.py
@@ -7,6 +7,7 @@
 from yarrowwall.dispatch.pool import ConnectionPool
 from yarrowwall.policy.latency import LatencyEstimator, RetryBudget
 from yarrowwall.policy.memory_budget import MemoryBudget
+from yarrowwall.policy.server_choice import ServerChooser
 from yarrowwall.policy.servers import ServerDirectory
 from yarrowwall.ports.loads import LoadSource
 from yarrowwall.ports.platform import ServerProtocol
@@ -17,6 +18,7 @@
     """What all attempts of a gateway share on their way to servers.
 
     :param now: the monotonic clock.
+    :ivar chooser: chooses among the servers of the directory.
     """
 
     directory: ServerDirectory
@@ -28,3 +30,8 @@
     now: Callable[[], float]
     latencies: LatencyEstimator = field(default_factory=LatencyEstimator)
     retries: RetryBudget = field(default_factory=RetryBudget)
+    chooser: ServerChooser = field(init=False)
+
+    def __post_init__(self) -> None:
+        """Choose among the servers of the directory."""
+        self.chooser = ServerChooser(self.directory)
--- a/yarrowwall/dispatch/sender.py
+++ b/yarrowwall/dispatch/sender.py
@@ -28,7 +28,8 @@
 )
 from yarrowwall.policy.memory_budget import MemoryHold
 from yarrowwall.policy.sending import SendRules
-from yarrowwall.policy.servers import Choice, ServerState, Wish
+from yarrowwall.policy.server_choice import Choice, PlacementRequest
+from yarrowwall.policy.servers import ServerState
 from yarrowwall.policy.urgency import turn_rank
 from yarrowwall.ports.quotas import Allowance
 from yarrowwall.refusals import RefusedError
@@ -167,9 +168,9 @@
         affinity = (attempt.affinity or "") if sending.route.is_sticky else ""
         if attempt.program is not None and (attempt.prompt or not affinity):
             affinity = attempt.program.program_id
-        wish = Wish(attempt.prompt, affinity, sending.last_server)
+        request = PlacementRequest(attempt.prompt, affinity, sending.last_server)
         now = self._parts.now()
-        return self._parts.directory.choose(sending.service, self.log.tried, now, wish)
+        return self._parts.chooser.choose(sending.service, self.log.tried, now, request)
 
     def _send(self, choice: Choice, last_event_id: str | None) -> OpenAnswer:
         server = choice.server
--- a/yarrowwall/budgets/budget_parts.py
+++ b/yarrowwall/policy/budget_parts.py
@@ -9,15 +9,12 @@
 from enum import IntEnum
 from typing import NamedTuple, Protocol
 
-#: Share of a budget that the common group may grant, in percent. Of 1,891 programs of three heavy
-#: days' first seconds 53 ever had more than half of their budget spent and claimed at once, and
-#: 245 more than 45%, so ordinary programs rarely leave the common part. A larger one would leave
-#: a zone's part of a small budget too little for a turn.
+#: Share of a budget that the common group may grant, in percent. Ordinary programs rarely leave
+#: it; a larger one would leave a zone's part of a small budget too little for a turn.
 COMMON_PERCENT = 50
 #: Least share of what a turn wants, in percent, that is worth a start while a ledger cannot be
-#: asked. Of 5,219 turns of those days 61 in 100 emitted no more than that of the most that they
-#: might, 86 in 100 no more than twice that; those that would pass what they were granted are
-#: broken off, and all would be lost if they were refused for the length of a cut.
+#: asked. Most turns emit no more; one that would is broken off, and without a start all would be
+#: lost for the length of a cut.
 LEAST_SHARE_PERCENT = 20
 
 
--- a/yarrowwall/policy/freshness.py
+++ b/yarrowwall/policy/freshness.py
@@ -10,10 +10,8 @@
 #: clocks that measure a configuration's age run apart by less than a hundredth, which is
 #: 0.05 s of 5 s; the rest is for what a request takes from its arrival to the look at the clock.
 MARGIN_SECONDS = 0.2
-#: Part of the bounds after which a gateway asks the store itself. Through readers a
-#: configuration is about 0.9 s old at most (1.2 s if the store takes 0.25 s an answer), so
-#: 0.65 of the shortest usual bound, 2 s, is beyond what they explain, and leaves time for the
-#: look (0.5 s) and the answer before a version may be overdue.
+#: Part of the bounds after which a gateway asks the store itself: beyond the age that readers
+#: explain, and soon enough for the look and the answer before a version may be overdue.
 OWN_QUESTION_PART = 0.65
 #: How the reason of a refusal for age begins; logs are searched for it.
 TOO_OLD = "the configuration was last proved"
--- a/yarrowwall/policy/latency.py
+++ b/yarrowwall/policy/latency.py
@@ -8,8 +8,7 @@
 LEAST_SEEN = 16
 #: Part of the answers that come within the time that is taken as usual.
 USUAL_SHARE = 0.95
-#: Times the usual after which an answer is held to be lost. Where latencies are spread as on
-#: the users' sites (some answers take four times the mean), one in a thousand comes later.
+#: Times the usual after which an answer is held to be lost; about one in a thousand comes later.
 LIMIT_FACTOR = 2.5
 #: Seconds below which no limit goes, for the way and the load of the machines.
 LEAST_LIMIT_SECONDS = 0.1
--- a/yarrowwall/policy/own_share.py
+++ b/yarrowwall/policy/own_share.py
@@ -5,8 +5,7 @@
 #: Seconds after which the sums of other gateways are no longer believed.
 BELIEVED_SECONDS = 1.0
 #: Times an even part of the room that a gateway without believable sums may have under way:
-#: clients are spread unevenly, and where some gateways are cut off the others have less. With 2
-#: such gateways of a small site refused programs while servers stood free.
+#: clients are spread unevenly, and where some gateways are cut off the others have less.
 BLIND_FACTOR = 4.0
 #: Requests that it may have under way in any case.
 BLIND_LEAST = 2.0
--- a/yarrowwall/policy/returns.py
+++ b/yarrowwall/policy/returns.py
@@ -13,17 +13,15 @@
 #: is a way to and fro and, if its request is out of tries, a pause before it is sent anew.
 GRACE_SECONDS = 0.6
 #: Programs that are remembered. Beyond it whoever is refused is told when to come back and comes
-#: as a new one. Each decision goes through all of them, 0.35 ms of a core for so many; it holds
-#: those that two hundred places free in some seconds.
+#: as a new one. Each decision goes through all of them; it holds those that two hundred places
+#: free in some seconds.
 MOST_WAITING = 500
 #: Part of the time that a program had when it first came, below which it can no longer be in time.
 #: Programs are wanted within about twice their time on idle servers; at the most that servers
 #: are filled to, they take up to 1.3 times that.
 IN_TIME_SHARE = 0.6
 #: Seconds after which a program goes behind in any case. Long programs have time for more, and
-#: would pass all short ones by: in the model of features/room.feature (a burst of 7 times) 85 in
-#: 100 long programs are served and 77 short ones without it, 77 and 80 with it. It is about the
-#: longest that a caller waits at once.
+#: would pass all short ones by. It is about the longest that a caller waits at once.
 MOST_AHEAD_SECONDS = 1.5
 
 
--- a/yarrowwall/policy/room.py
+++ b/yarrowwall/policy/room.py
@@ -7,12 +7,9 @@
 #: Part of the places of sound servers that programs under way may take. A program is wanted within
 #: about twice its time on idle servers, and up to four fifths of its places an engine is slower
 #: by less than that; above, turns queue, and a late program keeps its memory for longer. It also
-#: covers what gateways admit within the age of the sums and the unevenness of placement. In the
-#: model of features/room.feature 93 in 100 admitted programs are in time with this, 88 with 0.85
-#: (a burst of 4 times, a hot tenant, slow engines); with 1.0 it was half of them.
+#: covers what gateways admit within the age of the sums and the unevenness of placement.
 PLACES_SHARE = 0.8
-#: The same where memory is ample: turns may wait a little. Such a deployment was served in
-#: time with 1.1 of its places taken.
+#: The same where memory is ample: turns may wait a little.
 AMPLE_PLACES_SHARE = 1.25
 #: Times the memory that a program in each place keeps, from which memory is ample.
 AMPLE_FACTOR = 4.0
--- a/yarrowwall/policy/servers.py
+++ b/yarrowwall/policy/servers.py
@@ -1,55 +1,30 @@
-"""The servers as this gateway knows them, and the choice of one for a request. No I/O."""
+"""The servers as a gateway knows them: which are listed, how busy, how quick, how sound. No I/O.
 
-from collections.abc import Callable, Collection, Iterable, Mapping, Sequence
+Owns what was told and observed of each server; :mod:`yarrowwall.policy.server_choice` chooses.
+"""
+
+from collections.abc import Callable, Collection, Iterable, Mapping
 from dataclasses import dataclass, field
 from statistics import median
-from typing import NamedTuple
 
 from yarrowwall.backoff import doubled_s
-from yarrowwall.hashing import fraction
-from yarrowwall.model import PromptPart, Server, ServerLife, Service
+from yarrowwall.model import Server, ServerLife, Service
 from yarrowwall.policy.lives import NewestLives
-from yarrowwall.policy.prefixes import PrefixBelief, SharedParts
-
-#: Tokens of prompt that an engine reads in a second. Reading holds up all other requests
-#: of the engine, so this is half of what an engine reads for a request alone.
-PREFILL_TOKENS_PER_SECOND = 130_000.0
-#: Seconds that the way to another zone and back is held to cost.
-OTHER_ZONE_SECONDS = 0.004
-#: The same for the first turn of a program, whose prompts all go the same way later. It is
-#: more than hashing may decide, so programs begin in their own zone while it has room.
-OTHER_ZONE_FIRST_SECONDS = 0.04
-#: Seconds that each stream, or each lookup, at a server adds for the next one.
-STREAM_LOAD_SECONDS = 0.0005
-LOOKUP_LOAD_SECONDS = 0.002
-#: Part of a server's places up to which no request waits, even if the loads that other
-#: gateways told are a little old.
-FREE_SHARE = 0.75
-#: Seconds that a request is held to keep its place: a stream, and a lookup.
-STREAM_SECONDS = 0.4
-LOOKUP_SECONDS = 0.04
+from yarrowwall.policy.prefixes import PrefixBelief
+
 #: Seconds after which what other gateways had under way is no longer believed.
 LOAD_MEMORY_SECONDS = 1.0
 #: Seconds a server is passed over after it failed, doubled up to the most.
 SUSPENSION_SECONDS = 0.5
 MOST_SUSPENSION_SECONDS = 4.0
+#: The same after it said that it is full: about as long as one of its requests takes.
+FULL_SECONDS = 0.1
 #: Weight of the newest observation of a server's pace.
 PACE_WEIGHT = 0.3
 #: Seconds after which an observed pace is no longer believed.
 PACE_MEMORY_SECONDS = 4.0
-#: Events that a stream is held to have when paces are compared.
-EVENTS_PER_STREAM = 10.0
-#: Seconds of difference that hashing may decide, so that gateways agree without talking:
-#: for lookups, which run faster where their object was seen lately, and for streams, whose
-#: program is read anew where it was not seen.
-LOOKUP_SPREAD_SECONDS = 0.004
-STREAM_SPREAD_SECONDS = 0.03
 #: Times the usual pace beyond which a server counts as slow.
 SLOW_FACTOR = 2.0
-#: Tokens that a server which ran the turn before is held to read at most.
-NEW_TOKENS = 1000
-#: Parts of a prompt of which the first is shared among programs.
-LEAST_SHARED_PARTS = 2
 #: Seconds after a server vanished from the list in which it may serve if no other does.
 VANISHED_SECONDS = 1.5
 
@@ -84,35 +59,6 @@
         self.life_text = self.server.life_text
 
 
-class Wish(NamedTuple):
-    """What speaks for one server or another.
-
-    :param affinity: what all requests that should meet at one server have in common.
-    :param last_server: the life of the server where the program's turn before ran, as
-        :attr:`ServerLife.text`; empty if unknown.
-    """
-
-    prompt: Sequence[PromptPart]
-    affinity: str
-    last_server: str
-
-    @property
-    def tokens(self) -> int:
-        """Return the tokens of the prompt."""
-        return sum(part.tokens for part in self.prompt)
-
-
-@dataclass
-class Choice:
-    """Why a server was chosen, for the decision log."""
-
-    server: Server
-    cost: float
-    cached_tokens: int
-    candidates: int
-    load: int
-
-
 @dataclass
 class ServerDirectory:
     """All known servers, each by its newest life.
@@ -129,7 +75,6 @@
     states: dict[str, ServerState] = field(default_factory=dict)
     on_removed: Callable[[ServerLife, ServerLife | None], None] = lambda life, successor: None
     _told_at: float = -LOAD_MEMORY_SECONDS
-    _shared: SharedParts = field(default_factory=SharedParts)
     _newest: NewestLives = field(default_factory=NewestLives)
 
     def replace_all(
@@ -206,87 +151,6 @@
         leaving = [state for state in known if _may_still_serve(state, now)]
         return sound or staying or leaving
 
-    def choose(
-        self,
-        service: str,
-        tried: Collection[str],
-        now: float,
-        wish: Wish,
-    ) -> Choice | None:
-        """Return the server with the least expected time; None if there is none."""
-        states = self.candidates(service, tried, now)
-        if not states:
-            return None
-        usual = usual_pace(states, now)
-        # A server that started again holds nothing of the turn before.
-        lives = {state.life_text: state.server.server_id for state in states}
-        wish = wish._replace(last_server=lives.get(wish.last_server, ""))
-        reading = self._reading(states, wish)
-        costs = {
-            state.server.server_id: self._cost(state, bool(wish.prompt), usual, now)
-            + self._preference(state, wish)
-            + reading[state.server.server_id] / PREFILL_TOKENS_PER_SECOND
-            for state in states
-        }
-        best = min(states, key=lambda state: costs[state.server.server_id])
-        server_id = best.server.server_id
-        cached = wish.tokens - reading[server_id]
-        return Choice(best.server, costs[server_id], cached, len(states), self.load(best, now))
-
-    def _preference(self, state: ServerState, wish: Wish) -> float:
-        """Return the seconds by which a server is less wanted, load and memory apart.
-
-        All gateways of a zone agree on it, so the requests of one program meet at one
-        server, whichever gateways they come through.
-        """
-        is_near = state.server.zone == self.zone
-        if wish.last_server:
-            return 0.0 if is_near else OTHER_ZONE_SECONDS
-        share = fraction(wish.affinity, state.server.server_id)
-        if wish.prompt:
-            far_s = 0.0 if is_near else OTHER_ZONE_FIRST_SECONDS
-            return far_s + STREAM_SPREAD_SECONDS * share
-        return (0.0 if is_near else OTHER_ZONE_SECONDS) + LOOKUP_SPREAD_SECONDS * share
-
-    def _reading(self, states: Sequence[ServerState], wish: Wish) -> dict[str, int]:
-        """Return the tokens that each server would have to read of a prompt."""
-        prompt = wish.prompt
-        found = {
-            state.server.server_id: wish.tokens - state.belief.cached_tokens(prompt)
-            for state in states
-        }
-        if len(prompt) < LEAST_SHARED_PARTS:
-            return found
-        shared = prompt[0].tokens
-        own = wish.tokens - shared
-        self._shared.note(prompt[0])
-        if self._shared.fit_into(min(state.belief.capacity for state in states)):
-            # Every server soon holds what all programs share.
-            found = {server_id: min(missing, own) for server_id, missing in found.items()}
-        if wish.last_server:
-            found[wish.last_server] = min(found[wish.last_server], NEW_TOKENS)
-        elif min(found.values()) >= own:
-            # Nothing of this program went through this gateway yet. If others saw it,
-            # they sent it where it is wanted most.
-            home = min(states, key=lambda state: self._preference(state, wish))
-            found[home.server.server_id] -= own
-        return found
-
-    def _cost(self, state: ServerState, is_stream: bool, usual: float, now: float) -> float:
-        """Return the seconds that a server's load and pace are expected to cost."""
-        load = self.load(state, now)
-        seconds = load * (STREAM_LOAD_SECONDS if is_stream else LOOKUP_LOAD_SECONDS)
-        ahead = load + 1 - FREE_SHARE * state.server.slots
-        if ahead > 0:
-            held = STREAM_SECONDS if is_stream else LOOKUP_SECONDS
-            seconds += ahead * held / state.server.slots
-        pace = believed_pace(state, now)
-        if pace is not None:
-            # Paces differ by load and luck; only a server far off the others is slow.
-            excess = max(0.0, pace - SLOW_FACTOR * usual)
-            seconds += excess * (EVENTS_PER_STREAM if is_stream else 1.0)
-        return seconds
-
     def load(self, state: ServerState, now: float) -> int:
         """Return the requests under way at a server, of all gateways as far as known."""
         is_known = now - self._told_at < LOAD_MEMORY_SECONDS
@@ -358,7 +222,7 @@
         """Pass a server over for a moment after it said that it is full."""
         state = self.state_of(life)
         if state is not None:
-            state.suspended_until = max(state.suspended_until, now + 0.1)
+            state.suspended_until = max(state.suspended_until, now + FULL_SECONDS)
 
 
 def _cache_tokens(server: Server, services: dict[str, Service]) -> int:
--- a/yarrowwall/watching/detour.py
+++ b/yarrowwall/watching/detour.py
@@ -14,19 +14,16 @@
 from yarrowwall.watching.order import ReaderOrder
 
 #: Seconds without an answer of any reader, and without one that is relied on, after which
-#: neighbours are asked. A reader that hears nothing from the store says so every 0.5 s, so in an
-#: outage of the store nobody asks neighbours; and the next reader answers within 0.2 s if only the
-#: first one is lost. A cut is found after 1.5 s, so the proof is 1.8 s old by the first answer:
-#: before the 2.8 s at which callers are no longer refused by it.
+#: neighbours are asked: longer than a reader without the store takes to say so, and than the next
+#: reader takes to answer, yet before the proof of the configuration is too old.
 UNHEARD_SECONDS = 1.0
 UNRELIED_SECONDS = 0.2
 #: Seconds between two tries while no neighbour brings an answer, doubled up to the most.
 LOOK_AGAIN_SECONDS = 0.5
 MOST_LOOK_AGAIN_SECONDS = 2.0
 #: Seconds between two questions for a kind by which the age of the configuration is known, and
-#: for any other. They don't wait at the reader, so they keep no place at a neighbour: what a
-#: reader knows is proved 0.9 s ago at most, so a gateway's proof is 1.2 s old at most, below the
-#: 1.3 s from which it would ask the store itself. Four kinds make 6.4 questions a second.
+#: for any other. They don't wait at the reader, so they keep no place at a neighbour; with them a
+#: gateway's proof stays younger than the age from which it would ask the store itself.
 PROMPT_PAUSE_SECONDS = 0.3
 PAUSE_SECONDS = 1.0
 
--- a/yarrowwall/watching/prover.py
+++ b/yarrowwall/watching/prover.py
@@ -18,16 +18,13 @@
 
 #: Seconds from one question to the next. Each answer is passed on at once to all who wait for
 #: a change (a question of theirs waits 1 s), so what they know is proved about 0.9 s ago at most
-#: while all is well. Every 0.5 s costs 117 calls to the store more in 30 s (57 gateways, three
-#: readers) and refuses no fewer callers for age.
+#: while all is well. Asking more often costs calls and refuses no fewer callers for age.
 PROOF_SECONDS = 0.9
-#: Seconds that an answer may take. A slow store (0.24 s an answer was seen) still proves.
+#: Seconds that an answer may take: several times what a slow store takes.
 ANSWER_SECONDS = 1.0
 #: Seconds without an answer after which the next question is sent beside those that wait. The
-#: first one that comes back ends an outage for a whole zone, and one that was sent the moment
-#: before the store's return is not waited for: by 0.3 s instead of a time-out of 1 s and a
-#: pause of 1 s. Half of the time in which callers' tries are to find a proof again (0.2 s with the
-#: ways to the gateways): by 0.3 s the last of them had it 0.1 s later.
+#: first one that comes back ends an outage for a whole zone, so no time-out is waited for; it is
+#: half of the time in which callers' tries are to find a proof again.
 AGAIN_SECONDS = 0.15
 #: Seconds within which a watch has to tell of a change that an answer has shown. It is told at
 #: the moment of the change, so a watch that says nothing by then is lost: waiting for its end
--- a/yarrowwall/watching/store.py
+++ b/yarrowwall/watching/store.py
@@ -69,10 +69,8 @@
 CALM_LOOK_SECONDS = 1.0
 #: Seconds of a pause after a failed read if a reader was found meanwhile.
 FOUND_SECONDS = 0.25
-#: Seconds for which a reader out of contact keeps the question of a machine that looks for one.
-#: It tells of the store's return at once, so machines have a proof 0.2 s after it, where they
-#: looked at readers every 0.25 s and waited up to 0.9 s more for the next proof; one that dies
-#: or goes dark meanwhile is found as soon after.
+#: Seconds for which a reader out of contact keeps the question of a machine that looks for one: it
+#: tells of the store's return at once. One that dies meanwhile is found as soon after.
 KEPT_SECONDS = 0.5
 #: Readers that are asked at each look: the first of the own zone and the next one.
 READERS_LOOKED_FOR = 2
