--- /dev/null
+++ b/yarrowwall/machine/registration.py
@@ -0,0 +1,108 @@
+"""What a machine with disks tells the platform's store of itself: that it is there, and emptied."""
+
+from collections.abc import Sequence
+
+import eventlet
+
+from yarrowwall import decisions
+from yarrowwall.decisions import DecisionLog
+from yarrowwall.messages.replicated import GroupView, Member
+from yarrowwall.ports.object_store import (
+    ConflictError,
+    ObjectStore,
+    ObjectStoreError,
+    StoredObject,
+)
+from yarrowwall.ports.platform import Documents
+from yarrowwall.replication.documents import REPLICAS_KIND, registration_spec
+from yarrowwall.replication.peers import ReplicaPeers
+from yarrowwall.replication.views import all_members, disk_ids
+
+#: Seconds between two tries to register.
+TRY_SECONDS = 0.3
+
+
+class Registration:
+    """Tells the store of this machine and its disks.
+
+    :param own: the machine with its disk for a common group.
+    :param zone_disk_id: its disk for the zone's own group.
+    :ivar retirements: the machines that are to be emptied, as the store told last.
+    """
+
+    def __init__(
+        self,
+        own: Member,
+        zone_disk_id: str,
+        store: ObjectStore,
+        documents: Documents,
+        peers: ReplicaPeers,
+        log: DecisionLog,
+    ) -> None:
+        self._own = own
+        self._zone_disk_id = zone_disk_id
+        self._store = store
+        self._documents = documents
+        self._peers = peers
+        self._log = log
+        self._told = ""
+        self.retirements: dict[str, StoredObject] = {}
+
+    def register(self) -> None:
+        """Tell the store of this machine and its disks until the store has taken it."""
+        spec = registration_spec(self._own, self._zone_disk_id)
+        while True:
+            try:
+                self._store.create(REPLICAS_KIND, self._own.node_id, spec)
+                return
+            except ConflictError:
+                if self._replace(spec):
+                    return
+            except ObjectStoreError as error:
+                self._note_refused("registration not taken", error)
+            eventlet.sleep(TRY_SECONDS)
+
+    def _replace(self, spec: dict) -> bool:
+        """Register anew if the store holds something else; return whether it holds this now."""
+        common = self._peers.registered.get(self._own.node_id)
+        zone = self._peers.zone_disks.get(self._own.node_id)
+        known = registration_spec(common, zone.disk_id) if common and zone else None
+        if known == spec:
+            return True
+        try:
+            self._store.replace(REPLICAS_KIND, self._own.node_id, spec, None)
+        except ObjectStoreError as error:
+            self._note_refused("registration not taken", error)
+            return False
+        return True
+
+    def tell_retirement(self, views: Sequence[GroupView]) -> None:
+        """Report whether this machine, if it is to be emptied, holds nothing any more.
+
+        :param views: the newest views of all groups.
+        """
+        item = self.retirements.get(self._own.node_id)
+        if item is None:
+            return
+        own = {self._own.disk_id, self._zone_disk_id}
+        is_complete = bool(views) and all(
+            own.isdisjoint(disk_ids(all_members(view))) for view in views
+        )
+        status = self._documents.retirement_status(is_complete)
+        if item.status == status:
+            return
+        try:
+            self._store.set_status(self._documents.retirements_kind, item.name, status)
+        except ObjectStoreError as error:
+            self._note_refused("retirement not reported", error)
+            return
+        self.retirements[item.name] = StoredObject(item.name, item.revision, item.spec, status)
+        change = "retired" if is_complete else "retiring"
+        self._log.write(decisions.ProcessChanged(change, self._own.node_id))
+
+    def _note_refused(self, change: str, error: ObjectStoreError) -> None:
+        """Log why the store did not take something, once for each reason in a row."""
+        told = f"{change}: {error}"
+        if told != self._told:
+            self._told = told
+            self._log.write(decisions.ProcessChanged(change, str(error)))
--- /dev/null
+++ b/yarrowwall/machine/replica_requests.py
@@ -0,0 +1,121 @@
+"""Requests of other machines to one with disks: each goes to what answers its type."""
+
+import time
+from collections.abc import Callable
+from typing import NamedTuple, cast
+
+from yarrowwall.capacity.load_board import LoadBoard
+from yarrowwall.capacity.room_board import RoomBoard
+from yarrowwall.messages.capacity import AskRoom, ReturnRoom
+from yarrowwall.messages.objects import ListObjects, WatchObjects
+from yarrowwall.messages.quotas import ReturnQuota, TakeQuota
+from yarrowwall.messages.relaying import AskNeighbours, NeighboursReply
+from yarrowwall.messages.replicated import (
+    AskStatuses,
+    InstallView,
+    LoadReply,
+    RecordsReply,
+    ReplyStatus,
+    ReportLoad,
+    StatusesReply,
+    StatusReply,
+    TellLoad,
+)
+from yarrowwall.quotas.lending import QuotaLending
+from yarrowwall.replication.disk import RecordDisk
+from yarrowwall.replication.neighbours import NeighbourBoard
+from yarrowwall.replication.replica import Request
+from yarrowwall.replication.synchroniser import Synchroniser
+from yarrowwall.replication.views import is_zone_group
+from yarrowwall.watching.reader import ObjectReader
+
+Reply = Callable[[object], None]
+
+
+class KeptReplica(NamedTuple):
+    """A replica of the machine with its disk and its copying."""
+
+    disk: RecordDisk
+    synchroniser: Synchroniser
+
+
+class ReplicaRequests:
+    """Answers the requests of other machines.
+
+    :param common: the replica of a common group.
+    :param zone: that of the zone's own group.
+    """
+
+    def __init__(
+        self, common: KeptReplica, zone: KeptReplica, lending: QuotaLending, reader: ObjectReader
+    ) -> None:
+        self._common = common
+        self._zone = zone
+        self._lending = lending
+        self._reader = reader
+        self._loads = LoadBoard()
+        self._rooms = RoomBoard()
+        self._neighbours = NeighbourBoard()
+
+    def handle(self, request: object, reply: Reply) -> None:
+        """Answer a request; the reply may follow later, or not at all."""
+        match request:
+            case ReportLoad():
+                reply(self._exchange_loads(request))
+            case TellLoad():
+                self._take_loads(request)
+            case AskRoom():
+                reply(self._rooms.decide(request, self._loads, time.monotonic()))
+            case ReturnRoom():
+                self._rooms.take_back(request)
+            case TakeQuota():
+                self._lending.take(request, reply)
+            case ReturnQuota():
+                self._lending.give_back(request)
+            case AskNeighbours():
+                neighbours = self._neighbours.ask(request.gateway, time.monotonic())
+                reply(NeighboursReply(neighbours))
+            case ListObjects() | WatchObjects():
+                self._reader.ask(request, reply)
+            case AskStatuses():
+                reply(StatusesReply(self._status(self._common), self._status(self._zone)))
+            case _:
+                self._ask_replica(cast(Request, request), reply)
+
+    def replica_of(self, group: int) -> KeptReplica:
+        """Return the replica that is for groups of a kind."""
+        return self._zone if is_zone_group(group) else self._common
+
+    @staticmethod
+    def _status(kept: KeptReplica) -> StatusReply:
+        return kept.disk.replica.status()
+
+    def _ask_replica(self, request: Request, reply: Reply) -> None:
+        """Hand a request to the replica that it is meant for."""
+        group = request.view.group if isinstance(request, InstallView) else request.group
+        asked = self.replica_of(group)
+        outcome = asked.disk.replica.handle(request, time.time())
+        if not outcome.persist:
+            reply(outcome.reply)
+            return
+        asked.disk.persist(
+            list(outcome.persist),
+            lambda: reply(self._after_persist(asked, outcome.reply)),
+            lambda: reply(RecordsReply(ReplyStatus.DISK_REFUSED, False, [], None)),
+        )
+
+    def _after_persist(self, asked: KeptReplica, reply: object) -> object:
+        asked.synchroniser.look()
+        return self._status(asked) if isinstance(reply, StatusReply) else reply
+
+    # Loads
+
+    def _exchange_loads(self, report: ReportLoad) -> LoadReply:
+        self._take_loads(report)
+        others = self._loads.others(report.node_id)
+        interval_s, reporters = self._loads.interval_s, self._loads.reporters
+        return LoadReply(list(others), list(others.values()), interval_s, reporters)
+
+    def _take_loads(self, report: ReportLoad | TellLoad) -> None:
+        running = dict(zip(report.servers, report.running, strict=True))
+        self._loads.take(report.node_id, running, time.monotonic(), report.services)
--- a/yarrowwall/machine/replica_role.py
+++ b/yarrowwall/machine/replica_role.py
@@ -1,41 +1,23 @@
-"""The process side of a replica: requests of other nodes, registration, upkeep."""
+"""The replica role of a machine: its disks, what it follows, upkeep."""
 
 import time
-from collections.abc import Callable
 from pathlib import Path
-from typing import NamedTuple
 
 import eventlet
 
-from yarrowwall import decisions
-from yarrowwall.capacity.load_board import LoadBoard
-from yarrowwall.capacity.room_board import RoomBoard
 from yarrowwall.decisions import DecisionLog
 from yarrowwall.machine.listeners import EarlyListeners
+from yarrowwall.machine.registration import Registration
+from yarrowwall.machine.replica_requests import KeptReplica, ReplicaRequests
 from yarrowwall.machine.settings import MachineSettings, ReplicaSettings
-from yarrowwall.messages.capacity import AskRoom, ReturnRoom
-from yarrowwall.messages.objects import ListObjects, WatchObjects
-from yarrowwall.messages.quotas import ReturnQuota, TakeQuota
-from yarrowwall.messages.relaying import AskNeighbours, NeighboursReply
 from yarrowwall.messages.replicated import (
-    AskStatuses,
     GroupView,
-    InstallView,
-    LoadReply,
     Member,
-    RecordsReply,
-    ReplyStatus,
-    ReportLoad,
-    StatusesReply,
-    StatusReply,
-    TellLoad,
 )
 from yarrowwall.metrics import MachineMetrics
 from yarrowwall.ports.object_store import (
     Change,
-    ConflictError,
     ObjectStore,
-    ObjectStoreError,
     StoredObject,
 )
 from yarrowwall.ports.platform import Documents
@@ -48,12 +30,10 @@
     REPLICAS_KIND,
     read_registration,
     read_zone_registration,
-    registration_spec,
 )
-from yarrowwall.replication.neighbours import NeighbourBoard
 from yarrowwall.replication.peers import ReplicaPeers
 from yarrowwall.replication.planner import target_size
-from yarrowwall.replication.replica import RecordReplica, Request
+from yarrowwall.replication.replica import RecordReplica
 from yarrowwall.replication.rpc import LinkTable, serve_requests
 from yarrowwall.replication.synchroniser import Synchroniser
 from yarrowwall.replication.views import all_members, disk_ids, is_zone_group, zone_of
@@ -71,13 +51,6 @@
 ZONE_FOLDER = "zone"
 
 
-class _Replica(NamedTuple):
-    """A replica of the machine with its disk and its copying."""
-
-    disk: RecordDisk
-    synchroniser: Synchroniser
-
-
 class ReplicaService:
     """Runs a replica of the record store."""
 
@@ -105,8 +78,10 @@
         self._links = LinkTable(time.monotonic)
         self._peers = ReplicaPeers(settings.node_id, settings.zone, self._links, time.monotonic)
         self._lending = QuotaLending(self._disk, self._peers, log)
-        self._common = _Replica(self._disk, Synchroniser(self._disk, self._links, log, time.time))
-        self._zone = _Replica(
+        self._common = KeptReplica(
+            self._disk, Synchroniser(self._disk, self._links, log, time.time)
+        )
+        self._zone = KeptReplica(
             zone_disk, Synchroniser(zone_disk, self._links, log, time.time, ZONE_LOOK_SECONDS)
         )
         self._coordinator = Coordinator(
@@ -119,10 +94,13 @@
             settings.is_first_start,
             target_size(settings.machines_lost_at_once),
         )
-        self._loads = LoadBoard()
-        self._rooms = RoomBoard()
-        self._neighbours = NeighbourBoard()
-        self._retirements: dict[str, StoredObject] = {}
+        own_member = Member(
+            settings.node_id, self._disk.replica.disk_id, settings.peer_address, settings.zone
+        )
+        self._registration = Registration(
+            own_member, zone_disk.replica.disk_id, store, documents, self._peers, log
+        )
+        self._requests = ReplicaRequests(self._common, self._zone, self._lending, reader)
         self._followers = [
             KindFollower(
                 store,
@@ -155,14 +133,14 @@
     def start(self) -> None:
         """Begin to serve."""
         listener = green(self._listeners.take(self._settings.peer_address))
-        eventlet.spawn_n(serve_requests, listener, self._handle)
+        eventlet.spawn_n(serve_requests, listener, self._requests.handle)
         for follower in self._followers:
             follower.start()
         self._peers.start()
         for replica in (self._common, self._zone):
             replica.synchroniser.start()
         self._coordinator.start()
-        eventlet.spawn_n(self._register)
+        eventlet.spawn_n(self._registration.register)
         eventlet.spawn_n(self._keep_house)
 
     def stop(self) -> None:
@@ -173,142 +151,21 @@
         metrics.set_lent(self._disk.lender.lent_by_tenant(time.monotonic()))
         metrics.set_zone_records(len(self._zone.disk.replica.table))
 
-    # Requests
-
-    def _handle(self, request: object, reply: Callable[[object], None]) -> None:
-        if isinstance(request, ReportLoad):
-            reply(self._exchange_loads(request))
-            return
-        if isinstance(request, TellLoad):
-            self._take_loads(request)
-            return
-        if isinstance(request, AskRoom):
-            reply(self._rooms.decide(request, self._loads, time.monotonic()))
-            return
-        if isinstance(request, ReturnRoom):
-            self._rooms.take_back(request)
-            return
-        if isinstance(request, TakeQuota):
-            self._lending.take(request, reply)
-            return
-        if isinstance(request, ReturnQuota):
-            self._lending.give_back(request)
-            return
-        if isinstance(request, AskNeighbours):
-            neighbours = self._neighbours.ask(request.gateway, time.monotonic())
-            reply(NeighboursReply(neighbours))
-            return
-        if isinstance(request, ListObjects | WatchObjects):
-            self._reader.ask(request, reply)
-            return
-        if isinstance(request, AskStatuses):
-            reply(StatusesReply(self._disk.replica.status(), self._zone.disk.replica.status()))
-            return
-        self._ask_replica(request, reply)  # type: ignore[arg-type]
-
-    def _ask_replica(self, request: Request, reply: Callable[[object], None]) -> None:
-        """Hand a request to the replica that it is meant for."""
-        group = request.view.group if isinstance(request, InstallView) else request.group
-        asked = self._replica_of(group)
-        outcome = asked.disk.replica.handle(request, time.time())
-        if not outcome.persist:
-            reply(outcome.reply)
-            return
-        asked.disk.persist(
-            list(outcome.persist),
-            lambda: reply(self._after_persist(asked, outcome.reply)),
-            lambda: reply(RecordsReply(ReplyStatus.DISK_REFUSED, False, [], None)),
-        )
-
-    def _replica_of(self, group: int) -> _Replica:
-        return self._zone if is_zone_group(group) else self._common
-
-    def _exchange_loads(self, report: ReportLoad) -> LoadReply:
-        self._take_loads(report)
-        others = self._loads.others(report.node_id)
-        interval_s, reporters = self._loads.interval_s, self._loads.reporters
-        return LoadReply(list(others), list(others.values()), interval_s, reporters)
-
-    def _take_loads(self, report: ReportLoad | TellLoad) -> None:
-        running = dict(zip(report.servers, report.running, strict=True))
-        self._loads.take(report.node_id, running, time.monotonic(), report.services)
-
-    @staticmethod
-    def _after_persist(asked: _Replica, reply: object) -> object:
-        asked.synchroniser.look()
-        return asked.disk.replica.status() if isinstance(reply, StatusReply) else reply
-
-    # The own registration
-
-    def _own_member(self) -> Member:
-        settings = self._settings
-        disk_id = self._disk.replica.disk_id
-        return Member(settings.node_id, disk_id, settings.peer_address, settings.zone)
-
-    def _register(self) -> None:
-        """Tell the store of this machine and its disks until the store has taken it."""
-        spec = registration_spec(self._own_member(), self._zone.disk.replica.disk_id)
-        while True:
-            try:
-                self._store.create(REPLICAS_KIND, self._settings.node_id, spec)
-                return
-            except ConflictError:
-                if self._replace_registration(spec):
-                    return
-            except ObjectStoreError:
-                pass
-            eventlet.sleep(UPKEEP_SECONDS)
-
-    def _replace_registration(self, spec: dict) -> bool:
-        common = self._peers.registered.get(self._settings.node_id)
-        zone = self._peers.zone_disks.get(self._settings.node_id)
-        known = registration_spec(common, zone.disk_id) if common and zone else None
-        if known == spec:
-            return True
-        try:
-            self._store.replace(REPLICAS_KIND, self._settings.node_id, spec, None)
-        except ObjectStoreError:
-            return False
-        return True
-
     # Upkeep
 
     def _keep_house(self) -> None:
         next_expiry = time.monotonic() + EXPIRY_SECONDS
         while True:
             eventlet.sleep(UPKEEP_SECONDS)
-            self._tell_retirement()
+            self._registration.tell_retirement(self._coordinator.views())
             self._reader.stop_unwanted()
             self._lending.note_begun()
             if time.monotonic() > next_expiry:
                 next_expiry = time.monotonic() + EXPIRY_SECONDS
                 self._lending.forget_idle()
-                for disk in (self._disk, self._zone.disk):
-                    disk.replica.table.expire(time.time())
-                    disk.compact_if_long()
-
-    def _tell_retirement(self) -> None:
-        """Report whether this machine, if it is to be emptied, holds nothing any more."""
-        item = self._retirements.get(self._settings.node_id)
-        if item is None:
-            return
-        views = self._coordinator.views()
-        own = {self._disk.replica.disk_id, self._zone.disk.replica.disk_id}
-        is_complete = bool(views) and all(
-            own.isdisjoint(disk_ids(all_members(view))) for view in views
-        )
-        status = self._documents.retirement_status(is_complete)
-        if item.status == status:
-            return
-        try:
-            self._store.set_status(self._documents.retirements_kind, self._settings.node_id, status)
-        except ObjectStoreError:
-            return
-        self._retirements[self._settings.node_id] = StoredObject(
-            item.name, item.revision, item.spec, status
-        )
-        change = "retired" if is_complete else "retiring"
-        self._log.write(decisions.ProcessChanged(change, self._settings.node_id))
+                for replica in (self._common, self._zone):
+                    replica.disk.replica.table.expire(time.time())
+                    replica.disk.compact_if_long()
 
     # What the store tells
 
@@ -324,7 +181,7 @@
     def _take_groups(self, item: StoredObject) -> None:
         self._coordinator.take_groups(item)
         for view in self._coordinator.views():
-            replica = self._replica_of(view.group)
+            replica = self._requests.replica_of(view.group)
             if _concerns(view, replica.disk.replica):
                 views = replica.disk.replica.take_view(view)
                 replica.disk.persist(views, replica.synchroniser.look)
@@ -348,15 +205,16 @@
             self._peers.take(item.name, common, read_zone_registration(item))
 
     def _retirements_listed(self, items: list[StoredObject]) -> None:
-        self._retirements = {item.name: item for item in items}
-        self._coordinator.retiring = set(self._retirements)
+        self._registration.retirements = {item.name: item for item in items}
+        self._coordinator.retiring = set(self._registration.retirements)
 
     def _retirement_changed(self, change: Change) -> None:
+        retirements = self._registration.retirements
         if change.is_gone:
-            self._retirements.pop(change.item.name, None)
+            retirements.pop(change.item.name, None)
         else:
-            self._retirements[change.item.name] = change.item
-        self._coordinator.retiring = set(self._retirements)
+            retirements[change.item.name] = change.item
+        self._coordinator.retiring = set(retirements)
 
 
 def _concerns(view: GroupView, replica: RecordReplica) -> bool:
--- a/yarrowwall/replication/planner.py
+++ b/yarrowwall/replication/planner.py
@@ -90,26 +90,20 @@
         # that is cut off. A majority would be too much to ask for: in a group of two, left by
         # a retirement, the one that still has its disk holds every complete write.
         return None
-    candidates = [
-        member
-        for node_id, member in registered.items()
-        if node_id in alive and node_id not in retiring and member.disk_id not in busy
-    ]
-    sound = [member for member in holding if member.node_id not in retiring]
-    joining = list(sound)
-    while len(joining) < size and candidates:
-        best = _best_candidate(candidates, joining)
-        candidates.remove(best)
+    joining = [member for member in holding if member.node_id not in retiring]
+    able = [registered[node_id] for node_id in registered if node_id in alive]
+    free = [one for one in able if one.node_id not in retiring and one.disk_id not in busy]
+    while len(joining) < size and free:
+        best = _best_candidate(free, joining)
+        free.remove(best)
         joining.append(best)
     # Without a substitute, a member that is to be emptied stays as long as the group needs it.
     emptied = [member for member in holding if member.node_id in retiring]
     joining += emptied[: max(0, _fewest_copies(view.group, size) - len(joining))]
     # So does a silent one: it may come back with its disk.
-    for member in view.members:
-        is_silent = member not in holding and member.node_id not in retiring
-        is_wanted = is_silent and not _has_other_disk(member, registered)
-        if is_wanted and len(joining) < len(view.members):
-            joining.append(member)
+    silent = [one for one in view.members if one.node_id not in {*alive, *retiring}]
+    silent = [one for one in silent if not _has_other_disk(one, registered)]
+    joining += silent[: max(0, len(view.members) - len(joining))]
     if not joining or set(disk_ids(joining)) == set(disk_ids(view.members)):
         return None
     return GroupView(view.group, view.epoch + 1, view.members, joining)
