--- a/features/soak/faults.py
+++ b/features/soak/faults.py
@@ -176,7 +176,7 @@
         self._world.list_reborn(server, service, int(time.time() * 1000))
 
     def _told_late(self) -> None:
-        """Tell of an earlier life of a server, as a list that is old does."""
+        """Tell of an earlier incarnation of a server, as a list that is old does."""
         server, service = self._pick_server()
         newest = server.born_ms or int(time.time() * 1000)
         self._world.list_reborn(server, service, newest)
--- a/features/steps/backoff_steps.py
+++ b/features/steps/backoff_steps.py
@@ -9,7 +9,7 @@
 
 from yarrowwall.decisions import DecisionLog
 from yarrowwall.messages.replicated import Member
-from yarrowwall.model import Server, ServerLife
+from yarrowwall.model import Incarnation, Server
 from yarrowwall.policy.freshness import Freshness
 from yarrowwall.policy.servers import ServerDirectory
 from yarrowwall.ports.object_store import Listing, ObjectName, ObjectStoreError, StoredObject
@@ -80,7 +80,7 @@
     directory = ServerDirectory("a")
     directory.put(Server("i-1", "records", "127.0.0.1:1", "a", 4, False), {}, NOW_S)
     for _ in range(failures + 1):
-        directory.note_failure(ServerLife("i-1"), NOW_S)
+        directory.note_failure(Incarnation("i-1"), NOW_S)
     return directory.states["i-1"].suspended_until - NOW_S
 
 
--- a/features/steps/placement_steps.py
+++ b/features/steps/placement_steps.py
@@ -18,7 +18,7 @@
     StoredRecord,
     TellLoad,
 )
-from yarrowwall.model import EngineTraits, PromptPart, Server, ServerLife, Service
+from yarrowwall.model import EngineTraits, Incarnation, PromptPart, Server, Service
 from yarrowwall.policy.programs_under_way import ProgramsUnderWay
 from yarrowwall.policy.server_choice import PlacementRequest, ServerChooser
 from yarrowwall.policy.servers import ServerDirectory
@@ -87,7 +87,7 @@
 @when('events of "{slow}" take {slow_ms:d} ms and those of "{one}" and "{other}" {usual_ms:d} ms')
 def paces(context: Context, slow: str, slow_ms: int, one: str, other: str, usual_ms: int) -> None:
     for name, pace_ms in ((slow, slow_ms), (one, usual_ms), (other, usual_ms)):
-        context.engines.note_pace(ServerLife(name), pace_ms / 1000.0, context.now)
+        context.engines.note_pace(Incarnation(name), pace_ms / 1000.0, context.now)
 
 
 @then('{count:d} new programs all go to "{name}"')
@@ -272,7 +272,7 @@
 def turn_changes(context: Context, gateway: str, change: str, engine: str) -> None:
     known = context.directories[gateway]
     if change == "starts":
-        context.place = known.started(ServerLife(engine))
+        context.place = known.started(Incarnation(engine))
     else:
         context.place.running -= 1
     context.reporters[gateway].tell()
--- a/features/steps/server_life_steps.py
+++ b/features/steps/server_life_steps.py
@@ -20,8 +20,8 @@
 from yarrowwall.dispatch.connection import ServerConnection
 from yarrowwall.dispatch.pool import ConnectionPool
 from yarrowwall.exceptions import ConnectionBrokenError, RelayError
-from yarrowwall.model import EngineTraits, PromptPart, Server, ServerLife, Service
-from yarrowwall.policy.lives import NewestLives
+from yarrowwall.model import EngineTraits, Incarnation, PromptPart, Server, Service
+from yarrowwall.policy.incarnations import NewestIncarnations
 from yarrowwall.policy.server_choice import NEW_TOKENS, PlacementRequest, ServerChooser
 from yarrowwall.policy.servers import ServerDirectory
 
@@ -32,59 +32,63 @@
 FORGOTTEN_S = 5.0
 
 
-def told(life: ServerLife, is_draining: bool = False, address: str = "127.0.0.1:1") -> Server:
-    """Return what an entry tells of a life."""
-    return Server(life.server_id, "models", address, "a", 16, is_draining, life.born_ms)
+def told(
+    incarnation: Incarnation, is_draining: bool = False, address: str = "127.0.0.1:1"
+) -> Server:
+    """Return what an entry tells of an incarnation."""
+    return Server(
+        incarnation.server_id, "models", address, "a", 16, is_draining, incarnation.born_ms
+    )
 
 
 # What a gateway knows
 
 
 @given('a gateway that knows life {born:d} of "{name}"')
-def knows_life(context: Context, born: int, name: str) -> None:
+def knows_incarnation(context: Context, born: int, name: str) -> None:
     context.now_s = NOW_S
     context.directory = ServerDirectory("a")
-    context.directory.put(told(ServerLife(name, born)), SERVICES, NOW_S)
+    context.directory.put(told(Incarnation(name, born)), SERVICES, NOW_S)
 
 
 @given(
     'a gateway that knows life {born:d} of "{name}", which failed, is draining and holds a prompt'
 )
-def knows_worn_life(context: Context, born: int, name: str) -> None:
-    knows_life(context, born, name)
-    life = ServerLife(name, born)
+def knows_worn_incarnation(context: Context, born: int, name: str) -> None:
+    knows_incarnation(context, born, name)
+    incarnation = Incarnation(name, born)
     directory = context.directory
-    directory.put(told(life, is_draining=True), SERVICES, NOW_S)
-    directory.note_pace(life, 3.0, NOW_S)
-    directory.note_failure(life, NOW_S)
-    directory.started(life)
-    directory.take_loads({life.text: 5}, NOW_S)
+    directory.put(told(incarnation, is_draining=True), SERVICES, NOW_S)
+    directory.note_pace(incarnation, 3.0, NOW_S)
+    directory.note_failure(incarnation, NOW_S)
+    directory.started(incarnation)
+    directory.take_loads({incarnation.text: 5}, NOW_S)
     directory.states[name].belief.note_sent(PROMPT)
 
 
 @when('life {born:d} of "{name}" is told')
-def life_is_told(context: Context, born: int, name: str) -> None:
-    context.directory.put(told(ServerLife(name, born)), SERVICES, context.now_s)
+def incarnation_is_told(context: Context, born: int, name: str) -> None:
+    context.directory.put(told(Incarnation(name, born)), SERVICES, context.now_s)
 
 
 @when('life {born:d} of "{name}" is told by a watch')
 def told_by_watch(context: Context, born: int, name: str) -> None:
-    life_is_told(context, born, name)
+    incarnation_is_told(context, born, name)
 
 
 @when('life {born:d} of "{name}" is told by a list')
 def told_by_list(context: Context, born: int, name: str) -> None:
-    context.directory.replace_all([told(ServerLife(name, born))], SERVICES, context.now_s)
+    context.directory.replace_all([told(Incarnation(name, born))], SERVICES, context.now_s)
 
 
 @when('an entry of "{name}" tells no start')
 def told_without_start(context: Context, name: str) -> None:
-    context.directory.put(told(ServerLife(name)), SERVICES, context.now_s)
+    context.directory.put(told(Incarnation(name)), SERVICES, context.now_s)
 
 
 @when('the entry of life {born:d} of "{name}" is told to be gone')
 def told_gone(context: Context, born: int, name: str) -> None:
-    context.directory.remove(ServerLife(name, born), context.now_s)
+    context.directory.remove(Incarnation(name, born), context.now_s)
 
 
 @when("{seconds:d} s pass for that gateway")
@@ -118,9 +122,9 @@
 
 @when('{count:d} requests begin at "{name}"')
 def requests_begin(context: Context, count: int, name: str) -> None:
-    life = context.directory.states[name].server.life
+    incarnation = context.directory.states[name].server.incarnation
     places = context.places = getattr(context, "places", {})
-    places[life.born_ms] = [context.directory.started(life) for _ in range(count)]
+    places[incarnation.born_ms] = [context.directory.started(incarnation) for _ in range(count)]
 
 
 @when("the {count:d} requests of life {born:d} end")
@@ -132,7 +136,7 @@
 
 @when('another gateway tells of {count:d} requests at life {born:d} of "{name}"')
 def other_tells(context: Context, count: int, born: int, name: str) -> None:
-    context.directory.take_loads({ServerLife(name, born).text: count}, context.now_s)
+    context.directory.take_loads({Incarnation(name, born).text: count}, context.now_s)
 
 
 @then('{count:d} requests are under way at "{name}"')
@@ -143,18 +147,18 @@
 
 @then('a turn whose predecessor ran in life {born:d} of "{name}" has {what} to read there')
 def to_read(context: Context, born: int, name: str, what: str) -> None:
-    request = PlacementRequest(PROMPT, "program", ServerLife(name, born).text)
-    lives = context.directory
+    request = PlacementRequest(PROMPT, "program", Incarnation(name, born).text)
+    incarnations = context.directory
     # With others of its service, it is no program's home by being the only one.
     for other in ("e2", "e3", "e4", "e5"):
-        lives.put(told(ServerLife(other, born)), SERVICES, NOW_S)
-    chooser = ServerChooser(lives)
-    found = chooser._reading(list(lives.states.values()), _matched(chooser, request))
+        incarnations.put(told(Incarnation(other, born)), SERVICES, NOW_S)
+    chooser = ServerChooser(incarnations)
+    found = chooser._reading(list(incarnations.states.values()), _matched(chooser, request))
     own = PROMPT[1].tokens
     expected = {"little": NEW_TOKENS, "all": own}[what]
-    assert found[name] == expected or (what == "all" and _is_home(chooser, lives, request, name)), (
-        found
-    )
+    assert found[name] == expected or (
+        what == "all" and _is_home(chooser, incarnations, request, name)
+    ), found
 
 
 def _matched(chooser: ServerChooser, request: PlacementRequest) -> PlacementRequest:
@@ -191,28 +195,28 @@
 
 
 def check_order(order: list[tuple[str, int | None]]) -> None:
-    """Play what is told of one server; check the life in use after each step."""
+    """Play what is told of one server; check the incarnation in use after each step."""
     directory = ServerDirectory("a")
     now_s = NOW_S
-    newest: ServerLife | None = None
+    newest: Incarnation | None = None
     is_listed = False
     for how, born_ms in order:
-        life = ServerLife("e1", born_ms)
+        incarnation = Incarnation("e1", born_ms)
         if how == "pass":
             now_s += FORGOTTEN_S
             directory.forget_vanished(now_s)
         elif how == "gone":
-            directory.remove(life, now_s)
-            is_listed = is_listed and born_ms is not None and life.is_before(newest)
+            directory.remove(incarnation, now_s)
+            is_listed = is_listed and born_ms is not None and incarnation.is_before(newest)
         elif how == "list":
-            directory.replace_all([told(life)], SERVICES, now_s)
+            directory.replace_all([told(incarnation)], SERVICES, now_s)
         else:
-            directory.put(told(life), SERVICES, now_s)
-        if how in ("list", "watch") and (newest is None or not life.is_before(newest)):
-            newest, is_listed = life, True
+            directory.put(told(incarnation), SERVICES, now_s)
+        if how in ("list", "watch") and (newest is None or not incarnation.is_before(newest)):
+            newest, is_listed = incarnation, True
         state = directory.states.get("e1")
         assert (state is not None and state.vanished_at is None) == is_listed, order
-        assert state is None or state.server.life == newest, order
+        assert state is None or state.server.incarnation == newest, order
 
 
 @then("in {count:d} drawn orders the newest life that was told of is the one in use")
@@ -220,28 +224,32 @@
     derandomized(count)(given_drawn(_ORDERS)(check_order))()
 
 
-def _take_any(self: NewestLives, life: ServerLife) -> bool:
+def _take_any(self: NewestIncarnations, incarnation: Incarnation) -> bool:
     return True
 
 
-def _remove_any(self: ServerDirectory, life: ServerLife, now: float) -> None:
-    state = self.states.get(life.server_id)
+def _remove_any(self: ServerDirectory, incarnation: Incarnation, now: float) -> None:
+    state = self.states.get(incarnation.server_id)
     if state is not None and state.vanished_at is None:
         state.vanished_at = now
 
 
-_end_life = ServerDirectory._end_life
+_end_incarnation = ServerDirectory._end_incarnation
 
 
-def _end_and_forget(self: ServerDirectory, state: Any, successor: ServerLife | None) -> None:
+def _end_and_forget(self: ServerDirectory, state: Any, successor: Incarnation | None) -> None:
     self._newest._newest.pop(state.server.server_id, None)
-    _end_life(self, state, successor)
+    _end_incarnation(self, state, successor)
 
 
 MUTANTS = {
-    "an earlier life undoes a later one": (NewestLives, "note", _take_any),
-    "the end of an earlier life ends the later one": (ServerDirectory, "remove", _remove_any),
-    "what has gone is forgotten at once": (ServerDirectory, "_end_life", _end_and_forget),
+    "an earlier life undoes a later one": (NewestIncarnations, "note", _take_any),
+    "the end of an earlier life ends the later one": (
+        ServerDirectory,
+        "remove",
+        _remove_any,
+    ),
+    "what has gone is forgotten at once": (ServerDirectory, "_end_incarnation", _end_and_forget),
 }
 
 
@@ -306,8 +314,8 @@
 def pool_with_kept(context: Context, born: int) -> None:
     with _keeping_server(context) as address:
         context.pool = _pool(context)
-        context.old = told(ServerLife("e1", born), address=address)
-        context.new = told(ServerLife("e1", born + 1_000), address=address)
+        context.old = told(Incarnation("e1", born), address=address)
+        context.new = told(Incarnation("e1", born + 1_000), address=address)
         context.lent = _used(context.pool.take(context.old))
         context.kept = _used(context.pool.take(context.old))
         context.pool.give_back(context.old, context.kept)
@@ -318,7 +326,7 @@
 @when("its life {born:d} is told")
 def new_life_told(context: Context, born: int) -> None:
     assert context.new.born_ms == born
-    context.pool.end_life(context.old.life, context.new.life)
+    context.pool.end_incarnation(context.old.incarnation, context.new.incarnation)
 
 
 @then("the next request of life {born:d} goes over a new connection")
@@ -338,7 +346,7 @@
 def request_waits(context: Context, born: int) -> None:
     with _keeping_server(context) as address:
         context.pool = _pool(context)
-        context.old = told(ServerLife("e1", born), address=address)
+        context.old = told(Incarnation("e1", born), address=address)
         connection = context.pool.take(context.old)
         connection.send(WAITING, 1.0)
         context.ended = Event()
@@ -354,10 +362,10 @@
 
 
 @when("its life is told that began {seconds:d} s {side} that connection was opened")
-def life_began(context: Context, seconds: int, side: str) -> None:
+def incarnation_began(context: Context, seconds: int, side: str) -> None:
     offset_s = seconds if side == "after" else -seconds
-    successor = ServerLife("e1", int((context.unix_s + offset_s) * 1000))
-    context.pool.end_life(context.old.life, successor)
+    successor = Incarnation("e1", int((context.unix_s + offset_s) * 1000))
+    context.pool.end_incarnation(context.old.incarnation, successor)
 
 
 @then("the request is broken off within {limit:d} ms")
--- a/features/support/detour_model.py
+++ b/features/support/detour_model.py
@@ -57,7 +57,7 @@
     """A link to another gateway; its answers may be late, or come twice."""
 
     def _carry(
-        self, request: Any, complete: Callable[[object | None], None], life: int, asking: int
+        self, request: Any, complete: Callable[[object | None], None], incarnation: int, asking: int
     ) -> None:
         world = self._world
         assert isinstance(world, DetourWorld)
@@ -69,7 +69,7 @@
 
         def reply(found: object) -> None:
             for delay_s in world.delays_s():
-                eventlet.spawn_after(delay_s, self._bring, found, complete, life, asking)
+                eventlet.spawn_after(delay_s, self._bring, found, complete, incarnation, asking)
 
         for _ in range(2 if world.rng.random() < world.twice_part else 1):
             forwarder.handle(request, reply)
--- a/features/support/following_model.py
+++ b/features/support/following_model.py
@@ -71,15 +71,15 @@
 class Host:
     """A machine: its processes come and go.
 
-    :ivar life: number of its process; what an earlier one still does has no effect.
-    :ivar seen: what took effect in this life.
-    :ivar had: the newest version of its lives before.
+    :ivar incarnation: number of its process; what an earlier one still does has no effect.
+    :ivar seen: what took effect in this incarnation.
+    :ivar had: the newest version of its incarnations before.
     :ivar proved: the proofs of its configuration.
     """
 
     node_id: str
     zone: str
-    life: int = 0
+    incarnation: int = 0
     is_up: bool = False
     is_frozen: bool = False
     reader: ObjectReader | None = None
@@ -123,14 +123,16 @@
         self._reader = reader
 
     def post(self, request: Any, complete: Callable[[object | None], None]) -> int:
-        eventlet.spawn_n(self._carry, request, complete, self._reader.life, self._asker.life)
+        eventlet.spawn_n(
+            self._carry, request, complete, self._reader.incarnation, self._asker.incarnation
+        )
         return 0
 
     def forget(self, number: int, is_late: bool) -> None:
         """Nothing is kept."""
 
     def _carry(
-        self, request: Any, complete: Callable[[object | None], None], life: int, asking: int
+        self, request: Any, complete: Callable[[object | None], None], incarnation: int, asking: int
     ) -> None:
         if (self._asker.node_id, self._reader.node_id) in self._world.cuts:
             if not self._world.cuts_are_silent:
@@ -143,24 +145,32 @@
             return
         while self._reader.is_frozen:
             eventlet.sleep(0.05)
-        if self._reader.life != life or self._reader.reader is None:
+        if self._reader.incarnation != incarnation or self._reader.reader is None:
             complete(None)
             return
-        self._world.waiting.append((self._reader, life, complete))
+        self._world.waiting.append((self._reader, incarnation, complete))
 
         def reply(found: object) -> None:
-            eventlet.spawn_n(self._bring, found, complete, life, asking)
+            eventlet.spawn_n(self._bring, found, complete, incarnation, asking)
 
         self._reader.reader.ask(request, reply)
 
     def _bring(
-        self, found: object, complete: Callable[[object | None], None], life: int, asking: int
+        self,
+        found: object,
+        complete: Callable[[object | None], None],
+        incarnation: int,
+        asking: int,
     ) -> None:
         eventlet.sleep(WAY_S)
-        while self._reader.is_frozen and self._reader.life == life:
+        while self._reader.is_frozen and self._reader.incarnation == incarnation:
             eventlet.sleep(0.05)
         is_cut = (self._asker.node_id, self._reader.node_id) in self._world.cuts
-        if not is_cut and self._reader.life == life and self._asker.life == asking:
+        if (
+            not is_cut
+            and self._reader.incarnation == incarnation
+            and self._asker.incarnation == asking
+        ):
             complete(found)
 
 
@@ -214,7 +224,7 @@
 
     def start(self, host: Host) -> None:
         """Start a machine's process."""
-        host.life += 1
+        host.incarnation += 1
         host.is_up = True
         direct = self._client(host)
         is_reader = host in self.readers
@@ -235,7 +245,7 @@
             self._follow(host, store, GROUPS, LONG_WATCH_SECONDS)
             self._follow(host, store, REPLICAS_KIND, LONG_WATCH_SECONDS)
             self._follow(host, store, RETIREMENTS, WATCH_SECONDS)
-            eventlet.spawn_n(self._keep_reader, host, host.life)
+            eventlet.spawn_n(self._keep_reader, host, host.incarnation)
         else:
             self._start_gateway(host, store)
 
@@ -247,20 +257,20 @@
         return ObjectReader(self._client(host), CONFIG, log, now_s)
 
     def _client(self, host: Host) -> PlatformStore:
-        return _Client(self, host, host.life)
+        return _Client(self, host, host.incarnation)
 
-    def _keep_reader(self, host: Host, life: int) -> None:
-        while host.life == life and host.reader is not None:
+    def _keep_reader(self, host: Host, incarnation: int) -> None:
+        while host.incarnation == incarnation and host.reader is not None:
             host.reader.stop_unwanted()
             eventlet.sleep(UPKEEP_S)
 
     def _start_gateway(self, host: Host, store: ReaderStore) -> None:
         log: Any = host.lines
-        life = host.life
+        incarnation = host.incarnation
         freshness = _NotedFreshness(host)
 
         def take(item: StoredObject) -> None:
-            if host.life == life:
+            if host.incarnation == incarnation:
                 self._note_seen(host, item.spec["version"])
 
         def take_all(items: list[StoredObject]) -> None:
@@ -299,13 +309,13 @@
 
     def kill(self, host: Host) -> None:
         """End a machine's process at once."""
-        host.life += 1
+        host.incarnation += 1
         host.is_up = False
         host.reader = None
         host.had = max([host.had, *(seen.version for seen in host.seen)])
         host.seen = []
-        for reader, life, complete in self.waiting:
-            if reader is host and life == host.life - 1:
+        for reader, incarnation, complete in self.waiting:
+            if reader is host and incarnation == host.incarnation - 1:
                 complete(None)
         self.waiting = [one for one in self.waiting if one[0] is not host]
 
@@ -313,11 +323,11 @@
 class _Client(PlatformStore):
     """The product's client of one process; it does nothing once that process has ended."""
 
-    def __init__(self, world: FollowingWorld, host: Host, life: int) -> None:
+    def __init__(self, world: FollowingWorld, host: Host, incarnation: int) -> None:
         super().__init__(host.node_id, now_s)
         self._world = world
         self._host = host
-        self._life = life
+        self._incarnation = incarnation
 
     def _call(self, *args: Any, **kwargs: Any) -> Any:
         self._stay_dead()
@@ -327,7 +337,7 @@
             self._stay_dead()
 
     def _stay_dead(self) -> None:
-        while self._host.life != self._life:
+        while self._host.incarnation != self._incarnation:
             Event().wait()
 
 
--- a/features/support/placement_model.py
+++ b/features/support/placement_model.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 
 from yarrowwall.capacity.load_board import LoadBoard
-from yarrowwall.model import EngineTraits, PromptPart, Server, ServerLife, Service
+from yarrowwall.model import EngineTraits, Incarnation, PromptPart, Server, Service
 from yarrowwall.policy.server_choice import PlacementRequest, ServerChooser
 from yarrowwall.policy.servers import ServerDirectory
 from yarrowwall.policy.urgency import RANK_SECONDS
@@ -180,7 +180,7 @@
         choice = self._choosers[gateway].choose(SERVICE, (), self._now_s, request)
         assert choice is not None
         name = choice.server.server_id
-        known.started(ServerLife(name))
+        known.started(Incarnation(name))
         known.states[name].belief.note_sent(prompt)
         program.last_server = name
         self._tell_soon(gateway)
--- a/yarrowwall/budgets/ledger.py
+++ b/yarrowwall/budgets/ledger.py
@@ -156,7 +156,7 @@
         if not program.previous_turn:
             return attempt.body
         previous = _scoped(attempt.tenant, program.previous_turn)
-        turns = self._turns.chain(attempt.attempt_id, previous, route.retention)
+        turns = self._turns.chain(attempt.attempt_id, previous, route.retention_s)
         return prompt_body(turns, attempt.body)
 
     def _reserve(
@@ -168,7 +168,7 @@
         """
         program_id = _scoped(attempt.tenant, program.program_id)
         common = self.group_of(program_id)
-        wanted = wanted_by(program_id, program, attempt.attempt_id, route.retention, common)
+        wanted = wanted_by(program_id, program, attempt.attempt_id, route.retention_s, common)
         return self._reservations.reserve(wanted, budget)
 
     def settle(self, reserved: Reserved, tokens: int, server_id: str) -> None:
@@ -187,7 +187,7 @@
         settled: list[Placed] = []
         if reserved is not None:
             settled = self._reservations.settled(reserved, tokens, server_id)
-        self._turns.keep(turn, route.retention, settled)
+        self._turns.keep(turn, route.retention_s, settled)
 
 
 class LedgerGrant(TurnGrant):
--- a/yarrowwall/dispatch/pool.py
+++ b/yarrowwall/dispatch/pool.py
@@ -9,7 +9,7 @@
 from weakref import WeakSet
 
 from yarrowwall.dispatch.connection import ServerConnection
-from yarrowwall.model import Server, ServerLife
+from yarrowwall.model import Incarnation, Server
 
 #: Seconds an idle connection is trusted when the server did not say how long it keeps one.
 DEFAULT_IDLE_SECONDS = 2.0
@@ -18,16 +18,16 @@
 #: Seconds for a connection to come up; nothing was sent if it does not.
 CONNECT_SECONDS = 0.25
 #: Seconds by which a connection has to be older than a server's start, by two clocks, to count
-#: as one of the life before.
+#: as one of the incarnation before.
 CLOCK_MARGIN_SECONDS = 1.0
 #: Idle connections kept to one server.
 MOST_IDLE = 8
 
 
 class ConnectionPool:
-    """Kept connections by the life of the server for which they were made.
+    """Kept connections by the incarnation of the server for which they were made.
 
-    A connection that was made before a newer life was known is not used for that one, also if
+    A connection that was made before a newer incarnation was known is not used for it, also if
     the server's new process was already there to take it.
 
     :param now: the monotonic clock.
@@ -37,8 +37,8 @@
     def __init__(self, now: Callable[[], float], unix_s: Callable[[], float]) -> None:
         self._now = now
         self._unix_s = unix_s
-        self._lent: dict[ServerLife, WeakSet[ServerConnection]] = defaultdict(WeakSet)
-        self._idle: dict[ServerLife, list[ServerConnection]] = defaultdict(list)
+        self._lent: dict[Incarnation, WeakSet[ServerConnection]] = defaultdict(WeakSet)
+        self._idle: dict[Incarnation, list[ServerConnection]] = defaultdict(list)
 
     def take(self, server: Server, is_fresh: bool = False) -> ServerConnection:
         """Return a connection, a kept one if there is one that can be trusted.
@@ -46,13 +46,13 @@
         :param is_fresh: whether it has to be a new one.
         :raises ConnectError: if a new one does not come up.
         """
-        kept = None if is_fresh else self._take_kept(server.life)
+        kept = None if is_fresh else self._take_kept(server.incarnation)
         connection = kept if kept is not None else self._open(server)
-        self._lent[server.life].add(connection)
+        self._lent[server.incarnation].add(connection)
         return connection
 
-    def _take_kept(self, life: ServerLife) -> ServerConnection | None:
-        idle = self._idle[life]
+    def _take_kept(self, incarnation: Incarnation) -> ServerConnection | None:
+        idle = self._idle[incarnation]
         while idle:
             connection = idle.pop()
             if self._is_trusted(connection):
@@ -73,27 +73,27 @@
 
     def give_back(self, server: Server, connection: ServerConnection) -> None:
         """Keep a connection for reuse if its last answer allows it."""
-        self._lent[server.life].discard(connection)
-        idle = self._idle[server.life]
+        self._lent[server.incarnation].discard(connection)
+        idle = self._idle[server.incarnation]
         if len(idle) >= MOST_IDLE or not connection.is_reusable:
             connection.close()
             return
         connection.idle_since = self._now()
         idle.append(connection)
 
-    def forget(self, life: ServerLife) -> None:
+    def forget(self, incarnation: Incarnation) -> None:
         """Close the idle connections to a server."""
-        for connection in self._idle.pop(life, []):
+        for connection in self._idle.pop(incarnation, []):
             connection.close()
 
-    def end_life(self, life: ServerLife, successor: ServerLife | None) -> None:
-        """Close the idle connections to a life that is over, and end those under way.
+    def end_incarnation(self, incarnation: Incarnation, successor: Incarnation | None) -> None:
+        """Close the idle connections to an incarnation that is over, and end those under way.
 
         Whoever waits there learns at once that no answer will come, and has no proof that its
-        request did not run. A connection that may have been opened to the new life goes on.
+        request did not run. A connection that may have been opened to the new incarnation goes on.
         """
-        self.forget(life)
-        lent = self._lent.pop(life, None)
+        self.forget(incarnation)
+        lent = self._lent.pop(incarnation, None)
         if lent is None or successor is None or successor.born_ms is None:
             return
         for connection in list(lent):
@@ -102,12 +102,12 @@
 
     def close_expired(self) -> None:
         """Close idle connections that will not be used any more."""
-        for life, idle in list(self._idle.items()):
+        for incarnation, idle in list(self._idle.items()):
             kept = [connection for connection in idle if self._is_trusted(connection)]
             for connection in idle:
                 if connection not in kept:
                     connection.close()
             if kept:
-                self._idle[life] = kept
+                self._idle[incarnation] = kept
             else:
-                del self._idle[life]
+                del self._idle[incarnation]
--- a/yarrowwall/dispatch/sender.py
+++ b/yarrowwall/dispatch/sender.py
@@ -19,12 +19,12 @@
 from yarrowwall.model import (
     Answer,
     Attempt,
+    Incarnation,
     RequestKind,
     ResponseHead,
     Route,
     Send,
     Server,
-    ServerLife,
 )
 from yarrowwall.policy.memory_budget import MemoryHold
 from yarrowwall.policy.sending import SendRules
@@ -81,7 +81,7 @@
         self._parts = parts
         self._sending = sending
         self._attempt = sending.attempt
-        self._last_life: ServerLife | None = None
+        self._last_incarnation: Incarnation | None = None
         self._place: ServerState | None = None
         #: Whether a server said nothing in time: kept connections may all have fallen silent.
         self._met_silence = False
@@ -98,10 +98,10 @@
 
     @property
     def last_server(self) -> str:
-        """Return the life of the server that got the attempt last; empty if none did."""
-        if self._last_life is None or not self.log.sent:
+        """Return the incarnation of the server that got the attempt last; empty if none did."""
+        if self._last_incarnation is None or not self.log.sent:
             return self._sending.last_server
-        return self._last_life.text
+        return self._last_incarnation.text
 
     def left_s(self) -> float:
         """Return the seconds left."""
@@ -118,13 +118,13 @@
 
         :raises MemoryExhaustedError: if they are too many.
         """
-        server = self.current.send.server.life_text if self.current is not None else ""
+        server = self.current.send.server.incarnation_text if self.current is not None else ""
         self._sending.hold.grow(size, server)
 
     def release_answer(self, size: int) -> None:
         """Note that bytes of the current answer were passed on and are not kept."""
         if self.current is not None:
-            self._sending.hold.shrink(size, self.current.send.server.life_text)
+            self._sending.hold.shrink(size, self.current.send.server.incarnation_text)
 
     # Sending
 
@@ -175,7 +175,7 @@
     def _send(self, choice: Choice, last_event_id: str | None) -> OpenAnswer:
         server = choice.server
         self.log.tried.append(server.server_id)
-        self._last_life = server.life
+        self._last_incarnation = server.incarnation
         connection = self._connect(server)
         try:
             self._sending.allowance.spend()
@@ -211,7 +211,7 @@
         self.log.may_have_run = True
         connection.send(self._parts.protocol.request_bytes(self._attempt, send), self.left_s())
         for _ in range(MOST_FOREIGN_ANSWERS):
-            head = self._wait_for_head(connection, send.server.life)
+            head = self._wait_for_head(connection, send.server.incarnation)
             answer = self._parts.protocol.read_answer(self._attempt, send, head)
             if answer.belongs:
                 break
@@ -227,17 +227,19 @@
         connection.keep_alive = answer.keep_alive
         return answer
 
-    def _wait_for_head(self, connection: ServerConnection, life: ServerLife) -> ResponseHead:
+    def _wait_for_head(
+        self, connection: ServerConnection, incarnation: Incarnation
+    ) -> ResponseHead:
         """Return the next response head, as long as the server is worth waiting for."""
         started_at = self._parts.now()
         while True:
             try:
                 head = connection.read_head(self.rules.look_again_s(self._parts.now()))
             except AnswerTimeoutError:
-                if not self.rules.is_worth_waiting(life, started_at, self._parts.now()):
+                if not self.rules.is_worth_waiting(incarnation, started_at, self._parts.now()):
                     raise
                 continue
-            self._parts.directory.note_heard(life, self._parts.now())
+            self._parts.directory.note_heard(incarnation, self._parts.now())
             return head
 
     # What became of it
@@ -261,10 +263,10 @@
     def note_failure(self, server: Server, error: RelayError) -> None:
         """Note that a sending failed, and pass the server over unless the time was just over."""
         if not isinstance(error, AnswerTimeoutError) or self.left_s() > 0:
-            self._parts.directory.note_failure(server.life, self._parts.now())
+            self._parts.directory.note_failure(server.incarnation, self._parts.now())
         if isinstance(error, AnswerTimeoutError):
             self._met_silence = True
-            self._parts.pool.forget(server.life)
+            self._parts.pool.forget(server.incarnation)
         self._note_send_failed(server, str(error), self.log.may_have_run)
 
     def _note_send_failed(self, server: Server, reason: str, may_have_run: bool) -> None:
@@ -277,9 +279,9 @@
         self._note_send_failed(server, f"{opened.answer.status}", may_have_run=False)
         if opened.answer.status == HTTPStatus.MISDIRECTED_REQUEST:
             # Another server has the address: the entry is false until it changes.
-            self._parts.directory.note_failure(server.life, self._parts.now())
+            self._parts.directory.note_failure(server.incarnation, self._parts.now())
         else:
-            self._parts.directory.note_full(server.life, self._parts.now())
+            self._parts.directory.note_full(server.incarnation, self._parts.now())
         try:
             opened.connection.read_all(self.left_s())
         except RelayError:
@@ -308,7 +310,7 @@
     # The place at the server
 
     def _take_place(self, server: Server) -> None:
-        self._place = self._parts.directory.started(server.life)
+        self._place = self._parts.directory.started(server.incarnation)
         self._tell_loads()
 
     def _leave_place(self) -> None:
--- a/yarrowwall/dispatch/server_list.py
+++ b/yarrowwall/dispatch/server_list.py
@@ -74,12 +74,12 @@
         item = change.item
         if change.is_gone:
             self._faults -= {told for told in self._faults if told.name == item.name}
-            self._directory.remove(self._documents.server_life(item), self._now())
+            self._directory.remove(self._documents.server_incarnation(item), self._now())
             self._log.write(decisions.ServerChanged(item.name, "", "gone"))
             return
         server = self._read(item)
         if server is None:
-            self._directory.remove(self._documents.server_life(item), self._now())
+            self._directory.remove(self._documents.server_incarnation(item), self._now())
             return
         before = self._directory.states.get(server.server_id)
         known = before.server if before is not None else None
@@ -100,9 +100,9 @@
 
     def _tell(self, server: Server, before: Server | None, is_change: bool) -> None:
         """Write what became of a server."""
-        if before is not None and server.life.is_before(before.life):
+        if before is not None and server.incarnation.is_before(before.incarnation):
             change = "told of a life that is over"
-        elif before is not None and before.life.is_before(server.life):
+        elif before is not None and before.incarnation.is_before(server.incarnation):
             change = "started again"
         elif before is not None and not is_change:
             return
--- a/yarrowwall/dispatch/streams.py
+++ b/yarrowwall/dispatch/streams.py
@@ -50,7 +50,7 @@
         self._splitter = EventSplitter()
         self._last_event_at = opened.sent_at
         if opened.answer.status == HTTPStatus.OK:
-            state = self._parts.directory.state_of(opened.send.server.life)
+            state = self._parts.directory.state_of(opened.send.server.incarnation)
             if state is not None:
                 state.belief.note_sent(self._attempt.prompt)
 
@@ -94,15 +94,15 @@
 
         :raises AnswerTimeoutError: if it is not, or the time is over.
         """
-        rules, life = self._sender.rules, opened.send.server.life
+        rules, incarnation = self._sender.rules, opened.send.server.incarnation
         while True:
             try:
                 data = opened.connection.read_some(rules.look_again_s(self._parts.now()))
             except AnswerTimeoutError:
-                if not rules.is_worth_waiting(life, self._last_event_at, self._parts.now()):
+                if not rules.is_worth_waiting(incarnation, self._last_event_at, self._parts.now()):
                     raise
                 continue
-            self._parts.directory.note_heard(life, self._parts.now())
+            self._parts.directory.note_heard(incarnation, self._parts.now())
             self._sender.hold_answer(len(data))
             return data
 
@@ -111,7 +111,7 @@
         opened = self._sender.current
         if self.passed and opened is not None:
             gap = (now - self._last_event_at) / len(events)
-            self._parts.directory.note_pace(opened.send.server.life, gap, now)
+            self._parts.directory.note_pace(opened.send.server.incarnation, gap, now)
         self._last_event_at = now
         self._last_event_id = events[-1].event_id or self._last_event_id
         # A turn of a stateful route is stored whole; of others only the count is needed.
--- a/yarrowwall/gateway/exchange.py
+++ b/yarrowwall/gateway/exchange.py
@@ -66,7 +66,7 @@
             self._response.attempt_id = attempt.attempt_id
             self._gateway.wait_until_informed()
             route = self._gateway.admission.match(attempt)
-            end = min(attempt.deadline, attempt.arrived_at + route.timeout)
+            end = min(attempt.deadline, attempt.arrived_at + route.timeout_s)
             attempt.body = self._read_body(end)
         except InvalidAttemptError as error:
             yield self._response.refuse(Refusal(error.status, str(error)))
--- a/yarrowwall/machine/gateway_role.py
+++ b/yarrowwall/machine/gateway_role.py
@@ -71,7 +71,7 @@
         self._log = log
         self._directory = ServerDirectory(settings.zone)
         self._pool = ConnectionPool(time.monotonic, time.time)
-        self._directory.on_removed = self._pool.end_life
+        self._directory.on_removed = self._pool.end_incarnation
         self._limits = ServerLimits()
         self._memory = MemoryBudget(MemoryBounds.of_machine(settings.memory_mb))
         self._store = store
--- a/yarrowwall/model.py
+++ b/yarrowwall/model.py
@@ -34,10 +34,10 @@
 class Route:
     """Where requests of a host and path prefix go, and under which bounds.
 
-    :param timeout: the longest a request may be held, in seconds.
+    :param timeout_s: the longest a request may be held.
     :param attempts: the most servers that one attempt of a caller may be sent to.
     :param priority: rank, 0 is the most urgent.
-    :param retention: seconds that turns and budgets of a program are kept.
+    :param retention_s: for how long turns and budgets of a program are kept.
     :param is_public: whether requests need no key.
     """
 
@@ -46,11 +46,11 @@
     prefix: str
     kind: RequestKind
     shares: tuple[ServiceShare, ...]
-    timeout: float
+    timeout_s: float
     attempts: int
     priority: int
     is_stateful: bool
-    retention: float
+    retention_s: float
     is_sticky: bool
     is_resumable: bool
     is_public: bool = False
@@ -124,8 +124,8 @@
     tenants: tuple[Tenant, ...] | None = None
 
 
-class ServerLife(NamedTuple):
-    """One life of a server, from a start to its end; a server may start again under its id.
+class Incarnation(NamedTuple):
+    """One incarnation of a server, from a start to its end; a server may start again under its id.
 
     :param born_ms: Unix time of the start, by the server's own clock; None if it is not told.
     """
@@ -138,8 +138,8 @@
         """Return it as records and load reports name it; an id holds no blank."""
         return self.server_id if self.born_ms is None else f"{self.server_id} {self.born_ms}"
 
-    def is_before(self, other: "ServerLife") -> bool:
-        """Return whether this is an earlier life of the same server; one untold is the first."""
+    def is_before(self, other: "Incarnation") -> bool:
+        """Return whether this is an earlier one of the same server; one untold is the first."""
         if other.born_ms is None:
             return False
         return self.born_ms is None or self.born_ms < other.born_ms
@@ -161,14 +161,14 @@
     born_ms: int | None = None
 
     @cached_property
-    def life(self) -> ServerLife:
-        """Return the life of which this is told; each request looks it up some ten times."""
-        return ServerLife(self.server_id, self.born_ms)
+    def incarnation(self) -> Incarnation:
+        """Return the incarnation of which this is told; each request looks it up some ten times."""
+        return Incarnation(self.server_id, self.born_ms)
 
     @cached_property
-    def life_text(self) -> str:
-        """Return that life as records and load reports name it."""
-        return self.life.text
+    def incarnation_text(self) -> str:
+        """Return that incarnation as records and load reports name it."""
+        return self.incarnation.text
 
 
 @dataclass(frozen=True)
@@ -235,14 +235,14 @@
 class Send:
     """One sending of an attempt to a server.
 
-    :param remaining: seconds that the server may work.
+    :param remaining_s: for how long the server may work.
     :param priority: rank at the server, 0 is the most urgent.
     :param last_event_id: the event after which a resumed stream goes on.
     """
 
     server: Server
     body: bytes
-    remaining: float
+    remaining_s: float
     priority: int
     last_event_id: str | None
 
--- a/yarrowwall/platform/documents.py
+++ b/yarrowwall/platform/documents.py
@@ -9,16 +9,16 @@
     CallerLimits,
     Configuration,
     EngineTraits,
+    Incarnation,
     RequestKind,
     Route,
     Server,
-    ServerLife,
     Service,
     ServiceShare,
     Tenant,
 )
 from yarrowwall.platform import names
-from yarrowwall.platform.server_entries import read_life, read_server
+from yarrowwall.platform.server_entries import read_incarnation, read_server
 from yarrowwall.ports.object_store import StoredObject
 
 _KINDS = {
@@ -51,9 +51,9 @@
             raise UnusableEntryError(EntryFault.UNREADABLE, "spec")
         return read_server(item.name, item.spec, self._wall_clock())
 
-    def server_life(self, item: StoredObject) -> ServerLife:
-        """Return the life that an entry tells of, as far as it can be read."""
-        return read_life(item.name, item.spec, self._wall_clock())
+    def server_incarnation(self, item: StoredObject) -> Incarnation:
+        """Return the incarnation that an entry tells of, as far as it can be read."""
+        return read_incarnation(item.name, item.spec, self._wall_clock())
 
     def configuration(self, item: StoredObject) -> Configuration | None:
         """Return the operators' configuration; None if the object holds something else."""
@@ -86,11 +86,11 @@
         prefix=spec.get("path_prefix", "/"),
         kind=_KINDS.get(spec.get("type", ""), RequestKind.MUTATING),
         shares=tuple(shares),
-        timeout=timeout_ms / 1000.0,
+        timeout_s=timeout_ms / 1000.0,
         attempts=max(1, int(spec.get("attempts") or 1)),
         priority=int(spec.get("priority") or 0),
         is_stateful=bool(spec.get("stateful")),
-        retention=float(spec.get("retain_s") or 0.0),
+        retention_s=float(spec.get("retain_s") or 0.0),
         is_sticky=bool(spec.get("sticky")),
         is_resumable=bool(spec.get("resumable")),
         is_public=bool(spec.get("public")),
--- a/yarrowwall/platform/server_entries.py
+++ b/yarrowwall/platform/server_entries.py
@@ -4,7 +4,7 @@
 
 from yarrowwall.addresses import check_address, split_address
 from yarrowwall.exceptions import EntryFault, UnusableEntryError
-from yarrowwall.model import Server, ServerLife
+from yarrowwall.model import Incarnation, Server
 
 _STATES = ("ready", "draining")
 #: Fields that servers write about themselves and that the gateway has no use for: of another
@@ -42,12 +42,12 @@
     )
 
 
-def read_life(name: str, spec: dict[str, Any], unix_s: float) -> ServerLife:
-    """Return the life that an entry tells of; the untold one if that can't be read."""
+def read_incarnation(name: str, spec: dict[str, Any], unix_s: float) -> Incarnation:
+    """Return the incarnation that an entry tells of; the untold one if that can't be read."""
     try:
-        return ServerLife(name, _born_ms(spec, unix_s))
+        return Incarnation(name, _born_ms(spec, unix_s))
     except UnusableEntryError:
-        return ServerLife(name)
+        return Incarnation(name)
 
 
 def is_server_id(name: str) -> bool:
--- a/yarrowwall/platform/servers.py
+++ b/yarrowwall/platform/servers.py
@@ -15,7 +15,7 @@
         """Return the bytes of one sending."""
         lines = [f"{attempt.method} {attempt.target} HTTP/1.1", f"Host: {attempt.host}"]
         lines += [f"{name}: {value}" for name, value in attempt.headers]
-        lines.append(f"{names.DEADLINE}: {max(1, int(send.remaining * 1000))}")
+        lines.append(f"{names.DEADLINE}: {max(1, int(send.remaining_s * 1000))}")
         lines.append(f"{names.EXPECT_INSTANCE}: {send.server.server_id}")
         if attempt.prompt:
             priority = min(max(send.priority, 0), _LEAST_PRIORITY)
--- /dev/null
+++ b/yarrowwall/policy/incarnations.py
@@ -0,0 +1,27 @@
+"""Which incarnation of each server is the newest that was told of. No I/O."""
+
+from collections import OrderedDict
+
+from yarrowwall.model import Incarnation
+
+#: Servers of which the newest incarnation is remembered after they have gone. A list may be some
+#: seconds old and still tell of one that is over; servers come and go by dozens meanwhile.
+MOST_REMEMBERED = 4096
+
+
+class NewestIncarnations:
+    """The newest incarnation of each server, also of those that have gone."""
+
+    def __init__(self) -> None:
+        self._newest: OrderedDict[str, Incarnation] = OrderedDict()
+
+    def note(self, incarnation: Incarnation) -> bool:
+        """Take in that an incarnation was told of; return False if a later one is known."""
+        known = self._newest.get(incarnation.server_id)
+        if known is not None and incarnation.is_before(known):
+            return False
+        self._newest[incarnation.server_id] = incarnation
+        self._newest.move_to_end(incarnation.server_id)
+        if len(self._newest) > MOST_REMEMBERED:
+            self._newest.popitem(last=False)
+        return True
--- a/yarrowwall/policy/memory_budget.py
+++ b/yarrowwall/policy/memory_budget.py
@@ -118,7 +118,7 @@
     def grow(self, size: int, server: str = "") -> None:
         """Hold more bytes.
 
-        :param server: text of the life of the server that they came from; empty if from the
+        :param server: text of the incarnation of the server that they came from; empty if from the
             caller.
         :raises MemoryExhaustedError: if they are too many; then they are not counted.
         """
--- a/yarrowwall/policy/sending.py
+++ b/yarrowwall/policy/sending.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from http import HTTPStatus
 
-from yarrowwall.model import RequestKind, Route, ServerLife
+from yarrowwall.model import Incarnation, RequestKind, Route
 from yarrowwall.policy.latency import LatencyEstimator, RetryBudget
 from yarrowwall.policy.retry_after import SHORTAGE_SECONDS
 from yarrowwall.policy.servers import ServerDirectory
@@ -96,7 +96,7 @@
             return left_s
         return min(left_s, self._late_after_s() or SILENCE_SECONDS)
 
-    def is_worth_waiting(self, life: ServerLife, since: float, now: float) -> bool:
+    def is_worth_waiting(self, incarnation: Incarnation, since: float, now: float) -> bool:
         """Return whether to go on waiting for a server that was silent for a while.
 
         Without another server, giving up an answer that is late would end the request with
@@ -109,7 +109,7 @@
             return has_time
         late_after_s = self._late_after_s()
         if late_after_s is None:
-            is_heard = now - self._directory.last_heard(life) < SILENCE_SECONDS
+            is_heard = now - self._directory.last_heard(incarnation) < SILENCE_SECONDS
             is_late = not is_heard or now - since >= LONGEST_SILENCE_SECONDS
         else:
             is_late = now - since >= late_after_s
--- a/yarrowwall/policy/server_choice.py
+++ b/yarrowwall/policy/server_choice.py
@@ -54,8 +54,8 @@
     """What speaks for one server or another.
 
     :param affinity: what all requests that should meet at one server have in common.
-    :param last_server: the life of the server where the program's turn before ran, as
-        :attr:`ServerLife.text`; empty if unknown.
+    :param last_server: the incarnation of the server where the program's turn before ran, as
+        :attr:`Incarnation.text`; empty if unknown.
     """
 
     prompt: Sequence[PromptPart]
@@ -99,8 +99,8 @@
             return None
         usual = usual_pace(states, now)
         # A server that started again holds nothing of the turn before.
-        lives = {state.life_text: state.server.server_id for state in states}
-        request = request._replace(last_server=lives.get(request.last_server, ""))
+        incarnations = {state.incarnation_text: state.server.server_id for state in states}
+        request = request._replace(last_server=incarnations.get(request.last_server, ""))
         reading = self._reading(states, request)
         costs = {
             state.server.server_id: self._cost(state, bool(request.prompt), usual, now)
--- a/yarrowwall/policy/servers.py
+++ b/yarrowwall/policy/servers.py
@@ -8,8 +8,8 @@
 from statistics import median
 
 from yarrowwall.backoff import doubled_s
-from yarrowwall.model import Server, ServerLife, Service
-from yarrowwall.policy.lives import NewestLives
+from yarrowwall.model import Incarnation, Server, Service
+from yarrowwall.policy.incarnations import NewestIncarnations
 from yarrowwall.policy.prefixes import PrefixBelief
 
 #: Seconds after which what other gateways had under way is no longer believed.
@@ -31,12 +31,12 @@
 
 @dataclass
 class ServerState:
-    """What this gateway knows of one life of a server.
+    """What this gateway knows of one incarnation of a server.
 
     :param running: requests of this gateway under way there.
     :param elsewhere: requests of all other gateways, as they told last.
     :param pace: ratio of its speed to others'; seconds between events or for a lookup.
-    :ivar life: the life that this is known of, and its text, which each choice looks up.
+    :ivar incarnation: the one that this is known of, and its text, which each choice looks up.
     """
 
     server: Server
@@ -50,32 +50,34 @@
     suspended_until: float = 0.0
     vanished_at: float | None = None
     draining_at: float | None = None
-    life: ServerLife = field(init=False)
-    life_text: str = field(init=False)
+    incarnation: Incarnation = field(init=False)
+    incarnation_text: str = field(init=False)
 
     def __post_init__(self) -> None:
-        """Keep the life, which is the same for as long as the state is."""
-        self.life = self.server.life
-        self.life_text = self.server.life_text
+        """Keep the incarnation, which is the same for as long as the state is."""
+        self.incarnation = self.server.incarnation
+        self.incarnation_text = self.server.incarnation_text
 
 
 @dataclass
 class ServerDirectory:
-    """All known servers, each by its newest life.
+    """All known servers, each by its newest incarnation.
 
-    What is known of a life counts for no other one. Lists, watches and the ends of requests may
-    tell of lives in any order.
+    What is known of an incarnation counts for no other one. Lists, watches and the ends of
+    requests may tell of incarnations in any order.
 
     :param zone: the gateway's own zone.
-    :ivar on_removed: called with a life of which nothing is kept any more, and with the one
+    :ivar on_removed: called with an incarnation of which nothing is kept any more, and with the one
         that has taken its place, if it is known.
     """
 
     zone: str
     states: dict[str, ServerState] = field(default_factory=dict)
-    on_removed: Callable[[ServerLife, ServerLife | None], None] = lambda life, successor: None
+    on_removed: Callable[[Incarnation, Incarnation | None], None] = lambda incarnation, successor: (
+        None
+    )
     _told_at: float = -LOAD_MEMORY_SECONDS
-    _newest: NewestLives = field(default_factory=NewestLives)
+    _newest: NewestIncarnations = field(default_factory=NewestIncarnations)
 
     def replace_all(
         self, servers: Iterable[Server], services: dict[str, Service], now: float
@@ -85,17 +87,17 @@
         names = {server.server_id for server in listed}
         for server_id in list(self.states):
             if server_id not in names:
-                self.remove(ServerLife(server_id), now)
+                self.remove(Incarnation(server_id), now)
         for server in listed:
             self.put(server, services, now)
 
     def put(self, server: Server, services: dict[str, Service], now: float) -> None:
-        """Take in one entry of the list, unless it tells of a life that is over."""
-        if not self._newest.note(server.life):
+        """Take in one entry of the list, unless it tells of an incarnation that is over."""
+        if not self._newest.note(server.incarnation):
             return
         state = self.states.get(server.server_id)
-        if state is not None and state.life != server.life:
-            self._end_life(state, server.life)
+        if state is not None and state.incarnation != server.incarnation:
+            self._end_incarnation(state, server.incarnation)
             state = None
         if state is None:
             state = ServerState(server, PrefixBelief(_cache_tokens(server, services)))
@@ -107,10 +109,10 @@
         elif state.draining_at is None:
             state.draining_at = now
 
-    def _end_life(self, state: ServerState, successor: ServerLife | None) -> None:
-        """Forget all that was known of a life that is over, its requests under way with it."""
+    def _end_incarnation(self, state: ServerState, successor: Incarnation | None) -> None:
+        """Forget all that was known of one that is over, its requests under way with it."""
         del self.states[state.server.server_id]
-        self.on_removed(state.life, successor)
+        self.on_removed(state.incarnation, successor)
 
     def take_services(self, services: dict[str, Service]) -> None:
         """Take in what a configuration says of the engines' memory.
@@ -120,15 +122,15 @@
         for state in self.states.values():
             state.belief.resize(_cache_tokens(state.server, services))
 
-    def remove(self, life: ServerLife, now: float) -> None:
+    def remove(self, incarnation: Incarnation, now: float) -> None:
         """Take in that an entry is gone, or can't be used.
 
-        :param life: the life that the entry told; one untold stands for whichever is known.
+        :param incarnation: which the entry told; one untold stands for whichever is known.
         """
-        state = self.states.get(life.server_id)
+        state = self.states.get(incarnation.server_id)
         if state is None or state.vanished_at is not None:
             return
-        if life.born_ms is None or not life.is_before(state.life):
+        if incarnation.born_ms is None or not incarnation.is_before(state.incarnation):
             state.vanished_at = now
 
     def forget_vanished(self, now: float) -> None:
@@ -136,7 +138,7 @@
         for state in list(self.states.values()):
             gone = state.vanished_at is not None and now - state.vanished_at > VANISHED_SECONDS
             if gone and not state.running:
-                self._end_life(state, None)
+                self._end_incarnation(state, None)
 
     def candidates(self, service: str, tried: Collection[str], now: float) -> list[ServerState]:
         """Return the servers that may take a request, the sound ones if there are any."""
@@ -163,45 +165,47 @@
     # Observations
 
     def running(self) -> dict[str, int]:
-        """Return this gateway's requests under way by the text of the server's life."""
-        return {state.life_text: state.running for state in self.states.values() if state.running}
+        """Return this gateway's requests under way by the text of the server's incarnation."""
+        return {
+            state.incarnation_text: state.running for state in self.states.values() if state.running
+        }
 
     def take_loads(self, elsewhere: Mapping[str, int], now: float) -> None:
-        """Take in what all other gateways have under way, by the text of the server's life."""
+        """Take in what all other gateways have under way, by the incarnation's text."""
         self._told_at = now
         for state in self.states.values():
-            state.elsewhere = elsewhere.get(state.life_text, 0)
+            state.elsewhere = elsewhere.get(state.incarnation_text, 0)
 
-    def state_of(self, life: ServerLife) -> ServerState | None:
-        """Return what is known of a life; None once it is over."""
-        state = self.states.get(life.server_id)
-        return state if state is not None and state.life == life else None
+    def state_of(self, incarnation: Incarnation) -> ServerState | None:
+        """Return what is known of an incarnation; None once it is over."""
+        state = self.states.get(incarnation.server_id)
+        return state if state is not None and state.incarnation == incarnation else None
 
-    def note_heard(self, life: ServerLife, now: float) -> None:
+    def note_heard(self, incarnation: Incarnation, now: float) -> None:
         """Note that bytes came from a server."""
-        state = self.state_of(life)
+        state = self.state_of(incarnation)
         if state is not None:
             state.heard_at = now
 
-    def last_heard(self, life: ServerLife) -> float:
+    def last_heard(self, incarnation: Incarnation) -> float:
         """Return when a server was last heard of on any connection of this gateway."""
-        state = self.state_of(life)
+        state = self.state_of(incarnation)
         return state.heard_at if state is not None else 0.0
 
-    def started(self, life: ServerLife) -> ServerState | None:
+    def started(self, incarnation: Incarnation) -> ServerState | None:
         """Note that a request was sent to a server.
 
-        :returns: where its end is to be noted, whatever lives the server has meanwhile; None if
-            this one is over already.
+        :returns: where its end is to be noted, whatever incarnation the server is meanwhile; None
+            if this one is over already.
         """
-        state = self.state_of(life)
+        state = self.state_of(incarnation)
         if state is not None:
             state.running += 1
         return state
 
-    def note_pace(self, life: ServerLife, seconds: float, now: float) -> None:
+    def note_pace(self, incarnation: Incarnation, seconds: float, now: float) -> None:
         """Note how long a server took for one event or one lookup."""
-        state = self.state_of(life)
+        state = self.state_of(incarnation)
         if state is None:
             return
         known = believed_pace(state, now)
@@ -209,18 +213,18 @@
         state.pace_at = now
         state.failures = 0
 
-    def note_failure(self, life: ServerLife, now: float) -> None:
+    def note_failure(self, incarnation: Incarnation, now: float) -> None:
         """Pass a server over for a while after it failed."""
-        state = self.state_of(life)
+        state = self.state_of(incarnation)
         if state is None:
             return
         pause = doubled_s(SUSPENSION_SECONDS, MOST_SUSPENSION_SECONDS, state.failures)
         state.failures += 1
         state.suspended_until = now + pause
 
-    def note_full(self, life: ServerLife, now: float) -> None:
+    def note_full(self, incarnation: Incarnation, now: float) -> None:
         """Pass a server over for a moment after it said that it is full."""
-        state = self.state_of(life)
+        state = self.state_of(incarnation)
         if state is not None:
             state.suspended_until = max(state.suspended_until, now + FULL_SECONDS)
 
--- a/yarrowwall/ports/platform.py
+++ b/yarrowwall/ports/platform.py
@@ -9,10 +9,10 @@
     Attempt,
     Configuration,
     Header,
+    Incarnation,
     ResponseHead,
     Send,
     Server,
-    ServerLife,
 )
 from yarrowwall.ports.object_store import ObjectStore, StoredObject
 from yarrowwall.refusals import Refusal
@@ -58,8 +58,8 @@
         :raises UnusableEntryError: if the entry names none.
         """
 
-    def server_life(self, item: StoredObject) -> ServerLife:
-        """Return the life that an entry tells of, as far as it can be read."""
+    def server_incarnation(self, item: StoredObject) -> Incarnation:
+        """Return the incarnation that an entry tells of, as far as it can be read."""
 
     def configuration(self, item: StoredObject) -> Configuration | None:
         """Return the operators' configuration; None if the object holds something else."""
--- a/yarrowwall/ports/programs.py
+++ b/yarrowwall/ports/programs.py
@@ -33,7 +33,7 @@
     def complete(self, passed: list[Event], server_id: str) -> None:
         """Store what must last before the end of the answer is passed on.
 
-        :param server_id: the life of the server where the turn ran, as its text.
+        :param server_id: the incarnation of the server where the turn ran, as its text.
         :raises StoreUncertainError: if that cannot be done.
         """
 
