--- /dev/null
+++ b/yarrowwall/machine/gateway_followers.py
@@ -0,0 +1,142 @@
+"""What a gateway follows in the platform's store: configuration, servers, groups of replicas."""
+
+import time
+from typing import Any
+
+from yarrowwall import decisions
+from yarrowwall.decisions import DecisionLog
+from yarrowwall.dispatch.server_list import ServerList
+from yarrowwall.gateway.state import GatewayState
+from yarrowwall.model import Configuration
+from yarrowwall.policy.servers import ServerDirectory
+from yarrowwall.ports.object_store import Change, ObjectName, StoredObject
+from yarrowwall.ports.platform import Documents
+from yarrowwall.replication.documents import GROUPS_KIND, read_groups
+from yarrowwall.replication.group_views import GroupViews
+from yarrowwall.watching.follower import LONG_WATCH_SECONDS, KindFollower
+from yarrowwall.watching.freshness_probe import FreshnessProbe
+from yarrowwall.watching.store import ReaderStore
+
+
+class GatewayFollowers:
+    """Keeps a gateway's configuration, servers and groups up to date.
+
+    :param gateway: gets each configuration, and is told once all was read.
+    :param directory: gets the servers.
+    :param views: gets the groups of replicas.
+    """
+
+    def __init__(
+        self,
+        node_id: str,
+        store: ReaderStore,
+        documents: Documents,
+        gateway: GatewayState,
+        directory: ServerDirectory,
+        views: GroupViews,
+        log: DecisionLog,
+    ) -> None:
+        self._documents = documents
+        self._gateway = gateway
+        self._directory = directory
+        self._views = views
+        self._log = log
+        freshness = gateway.parts.freshness
+        self._probe = FreshnessProbe(
+            node_id,
+            store,
+            ObjectName(documents.configuration_kind, documents.configuration_name),
+            freshness,
+            self._take_configuration,
+            log,
+            time.monotonic,
+        )
+        servers = ServerList(documents, directory, self._services, log, time.monotonic)
+        self._followers = [
+            KindFollower(
+                store,
+                documents.configuration_kind,
+                self._configurations_listed,
+                self._configuration_changed,
+                log,
+                self._note_read,
+                on_proved=freshness.note_proved,
+            ),
+            KindFollower(
+                store,
+                documents.servers_kind,
+                servers.take_list,
+                servers.take_change,
+                log,
+                self._note_read,
+                watch_s=LONG_WATCH_SECONDS,
+                may_be_old=True,
+            ),
+            KindFollower(
+                store,
+                GROUPS_KIND,
+                self._groups_listed,
+                self._groups_changed,
+                log,
+                self._note_read,
+                watch_s=LONG_WATCH_SECONDS,
+                may_be_old=True,
+            ),
+        ]
+
+    def start(self) -> None:
+        """Begin to follow."""
+        for follower in self._followers:
+            follower.start()
+        self._probe.start()
+
+    @property
+    def is_informed(self) -> bool:
+        """Return whether configuration, servers and replicas were read."""
+        has_listed = all(follower.has_listed for follower in self._followers)
+        return has_listed and self._gateway.table is not None and self._views.count > 0
+
+    def _note_read(self, revision: int) -> None:
+        if self.is_informed:
+            self._gateway.note_informed()
+
+    # Configuration
+
+    def _configurations_listed(self, items: list[StoredObject]) -> None:
+        for item in items:
+            self._take_configuration(item)
+
+    def _configuration_changed(self, change: Change) -> None:
+        if not change.is_gone:
+            self._take_configuration(change.item)
+
+    def _take_configuration(self, item: StoredObject) -> None:
+        try:
+            configuration = self._documents.configuration(item)
+        except (AttributeError, KeyError, TypeError, ValueError) as error:
+            self._log.write(decisions.DependencyChanged("configuration", False, repr(error)))
+            return
+        if configuration is not None:
+            self._put_in_force(configuration)
+
+    def _put_in_force(self, configuration: Configuration) -> None:
+        if self._gateway.put_in_force(configuration):
+            self._directory.take_services(configuration.services)
+
+    def _services(self) -> dict[str, Any]:
+        table = self._gateway.table
+        return table.configuration.services if table is not None else {}
+
+    # Groups of replicas
+
+    def _groups_listed(self, items: list[StoredObject]) -> None:
+        for item in items:
+            self._take_groups(item)
+
+    def _groups_changed(self, change: Change) -> None:
+        if not change.is_gone:
+            self._take_groups(change.item)
+
+    def _take_groups(self, item: StoredObject) -> None:
+        for view in read_groups(item) or ():
+            self._views.take(view)
--- a/yarrowwall/machine/gateway_role.py
+++ b/yarrowwall/machine/gateway_role.py
@@ -14,24 +14,21 @@
 from yarrowwall.decisions import DecisionLog
 from yarrowwall.dispatch.parts import DispatchParts
 from yarrowwall.dispatch.pool import ConnectionPool
-from yarrowwall.dispatch.server_list import ServerList
 from yarrowwall.gateway.gateway import Gateway
 from yarrowwall.gateway.http_server import ServerLimits, serve
 from yarrowwall.gateway.parts import GatewayParts
+from yarrowwall.machine.gateway_followers import GatewayFollowers
 from yarrowwall.machine.listeners import EarlyListeners
 from yarrowwall.machine.settings import GatewaySettings, MachineSettings
 from yarrowwall.messages.relaying import Neighbour
 from yarrowwall.messages.replicated import GroupView
 from yarrowwall.metrics import MachineMetrics
-from yarrowwall.model import Configuration
 from yarrowwall.policy.freshness import Freshness
 from yarrowwall.policy.memory_budget import MemoryBounds, MemoryBudget
 from yarrowwall.policy.programs_under_way import ProgramsUnderWay
 from yarrowwall.policy.servers import ServerDirectory
-from yarrowwall.ports.object_store import Change, ObjectName, StoredObject
 from yarrowwall.ports.platform import Adapter
 from yarrowwall.quotas.borrowing import QuotaBorrower
-from yarrowwall.replication.documents import GROUPS_KIND, read_groups
 from yarrowwall.replication.forwarding import Forwarder
 from yarrowwall.replication.group_views import GroupViews
 from yarrowwall.replication.neighbour_finder import NeighbourFinder
@@ -40,8 +37,6 @@
 from yarrowwall.replication.relayed_links import RelayedLinkTable
 from yarrowwall.replication.rpc import serve_requests
 from yarrowwall.sockets import green
-from yarrowwall.watching.follower import LONG_WATCH_SECONDS, KindFollower
-from yarrowwall.watching.freshness_probe import FreshnessProbe
 from yarrowwall.watching.store import ReaderStore
 
 #: Seconds between rounds of housekeeping.
@@ -111,55 +106,20 @@
                 self._freshness,
             )
         )
-        documents = adapter.documents
-        self._probe = FreshnessProbe(
+        self._followers = GatewayFollowers(
             settings.node_id,
             store,
-            ObjectName(documents.configuration_kind, documents.configuration_name),
-            self._freshness,
-            lambda item: self._configuration_changed(item, is_gone=False),
+            adapter.documents,
+            self.gateway,
+            self._directory,
+            self._views,
             log,
-            time.monotonic,
         )
-        servers = ServerList(documents, self._directory, self._services, log, time.monotonic)
-        self._followers = [
-            KindFollower(
-                store,
-                adapter.documents.configuration_kind,
-                self._configurations_listed,
-                lambda change: self._configuration_changed(change.item, change.is_gone),
-                log,
-                self._note_read,
-                on_proved=self._freshness.note_proved,
-            ),
-            KindFollower(
-                store,
-                adapter.documents.servers_kind,
-                servers.take_list,
-                servers.take_change,
-                log,
-                self._note_read,
-                watch_s=LONG_WATCH_SECONDS,
-                may_be_old=True,
-            ),
-            KindFollower(
-                store,
-                GROUPS_KIND,
-                self._groups_listed,
-                self._groups_changed,
-                log,
-                self._note_read,
-                watch_s=LONG_WATCH_SECONDS,
-                may_be_old=True,
-            ),
-        ]
 
     def start(self) -> None:
         """Begin to follow the store and to listen."""
-        for follower in self._followers:
-            follower.start()
+        self._followers.start()
         self._loads.start()
-        self._probe.start()
         if self._settings.takes_forwarded:
             self._start_forwarding()
         callers = green(self._listeners.take(self._own.http_address))
@@ -222,19 +182,11 @@
         """
         if self._links.paths.is_served(time.monotonic()):
             return False
-        is_able = self._is_informed and self._ledger.is_reachable and self.gateway.serves_keys
+        is_able = (
+            self._followers.is_informed and self._ledger.is_reachable and self.gateway.serves_keys
+        )
         return is_able and not self.gateway.is_stopping
 
-    @property
-    def _is_informed(self) -> bool:
-        """Return whether configuration, servers and replicas were read."""
-        has_listed = all(follower.has_listed for follower in self._followers)
-        return has_listed and self.gateway.table is not None and self._views.count > 0
-
-    def _note_read(self, revision: int) -> None:
-        if self._is_informed:
-            self.gateway.note_informed()
-
     def _answer_readiness(
         self, environ: dict[str, Any], start_response: Callable[..., Any]
     ) -> Iterable[bytes]:
@@ -254,43 +206,6 @@
             self._ledger.probe()
             self._links.probe()
 
-    # What the store tells
-
-    def _configurations_listed(self, items: list[StoredObject]) -> None:
-        for item in items:
-            self._configuration_changed(item, is_gone=False)
-
-    def _configuration_changed(self, item: StoredObject, is_gone: bool) -> None:
-        if is_gone:
-            return
-        try:
-            configuration = self._adapter.documents.configuration(item)
-        except (AttributeError, KeyError, TypeError, ValueError) as error:
-            self._log.write(decisions.DependencyChanged("configuration", False, repr(error)))
-            return
-        if configuration is not None:
-            self._put_in_force(configuration)
-
-    def _put_in_force(self, configuration: Configuration) -> None:
-        if self.gateway.put_in_force(configuration):
-            self._directory.take_services(configuration.services)
-
-    def _services(self) -> dict[str, Any]:
-        table = self.gateway.table
-        return table.configuration.services if table is not None else {}
-
-    def _groups_listed(self, items: list[StoredObject]) -> None:
-        for item in items:
-            self._take_groups(item)
-
-    def _groups_changed(self, change: Change) -> None:
-        if not change.is_gone:
-            self._take_groups(change.item)
-
-    def _take_groups(self, item: StoredObject) -> None:
-        for view in read_groups(item) or ():
-            self._views.take(view)
-
     def _note_view(self, view: GroupView) -> None:
         members = ",".join(member.node_id for member in view.members)
         joining = ",".join(member.node_id for member in view.joining)
