--- a/yarrowwall/exceptions.py
+++ b/yarrowwall/exceptions.py
@@ -60,8 +60,8 @@
 class CallerGoneError(YarrowwallError):
     """The caller closed its connection; its attempt is to be cancelled.
 
-    Raised in the middle of whatever is done for the caller. It is no error of the relay's
-    own, so that nothing takes it for a server's failure and asks the next one.
+    Raised in the middle of whatever is done for the caller. It is no :class:`RelayError`, so that
+    nothing takes it for a server's failure and asks the next one.
     """
 
 
--- a/yarrowwall/platform/documents.py
+++ b/yarrowwall/platform/documents.py
@@ -1,4 +1,4 @@
-"""The platform's objects as the relay's types."""
+"""The platform's objects as the project's types."""
 
 import time
 from collections.abc import Callable
--- a/yarrowwall/quotas/borrowing.py
+++ b/yarrowwall/quotas/borrowing.py
@@ -100,7 +100,7 @@
         self._credit: Credit | None = None
         self._spent: Credit | None = None
 
-    # What the relay asks
+    # What a gateway asks
 
     def begin(self) -> None:
         """Take a credit that is held, or begin to ask the first lender."""
