--- a/yarrowwall/capacity/program_rooms.py
+++ b/yarrowwall/capacity/program_rooms.py
@@ -11,7 +11,7 @@
 from yarrowwall.model import Attempt, Service
 from yarrowwall.policy.own_share import BELIEVED_SECONDS, OwnShare
 from yarrowwall.policy.programs_under_way import ProgramsUnderWay
-from yarrowwall.policy.retry_after import after_unknown_room_s, patience_s
+from yarrowwall.policy.retry_after import after_unknown_room_s, caller_patience_s
 from yarrowwall.policy.room import ServiceRoom
 from yarrowwall.policy.servers import ServerDirectory
 from yarrowwall.policy.service_room import measure
@@ -103,7 +103,7 @@
             room.places,
             room.memory_tokens,
             finish_at - now_s if finish_at is not None else 0.0,
-            patience_s(attempt.deadline - now_s),
+            caller_patience_s(attempt.deadline - now_s),
         )
 
     def _decide_alone(self, ask: AskRoom, room: ServiceRoom) -> RoomReply:
--- a/yarrowwall/cli/failures.py
+++ b/yarrowwall/cli/failures.py
@@ -4,6 +4,7 @@
 from collections import Counter, defaultdict
 from collections.abc import Iterable
 from enum import StrEnum
+from http import HTTPStatus
 from pathlib import Path
 from typing import Any, NamedTuple
 
@@ -14,8 +15,6 @@
 from yarrowwall.policy.freshness import TOO_OLD
 
 _ENDS = {"AttemptAnswered", "AttemptRefused", "AnswerBrokenOff", "CallerLeft"}
-_BUDGET_SPENT = 402
-_SERVER_ERROR = 500
 
 
 class Cause(StrEnum):
@@ -57,7 +56,6 @@
 
 #: Causes of a gateway's own answers that are told by their status alone.
 _REFUSALS = {401: Cause.KEY_UNKNOWN, 429: Cause.LIMIT}
-_UNAVAILABLE = 503
 
 
 class Attempt(NamedTuple):
@@ -145,9 +143,9 @@
         return None
     if status in _REFUSALS:
         return _REFUSALS[status]
-    if status < _SERVER_ERROR:
+    if status < HTTPStatus.INTERNAL_SERVER_ERROR:
         return None
-    if status == _UNAVAILABLE:
+    if status == HTTPStatus.SERVICE_UNAVAILABLE:
         return _cause_of_unavailable(attempt.end.get("reason", ""))
     return Cause.TIMED_OUT if is_repeatable else Cause.LOST_UNREPEATABLE
 
--- a/yarrowwall/gateway/admission.py
+++ b/yarrowwall/gateway/admission.py
@@ -43,8 +43,12 @@
 
     def main_service(self, route: Route) -> Service | None:
         """Return the service that gets most of a route's requests, as it is configured."""
-        services = self.table.configuration.services if self.table is not None else {}
-        return services.get(route.shares[0].service) if route.shares else None
+        return self.services.get(route.shares[0].service) if route.shares else None
+
+    @property
+    def services(self) -> dict[str, Service]:
+        """Return the services by name; none before the first configuration."""
+        return self.table.configuration.services if self.table is not None else {}
 
     def _identify(self, attempt: Attempt, route: Route, table: RouteTable) -> None:
         """Note whose attempt it is, and so how urgent and how limited."""
--- a/yarrowwall/machine/gateway_followers.py
+++ b/yarrowwall/machine/gateway_followers.py
@@ -1,7 +1,6 @@
 """What a gateway follows in the platform's store: configuration, servers, groups of replicas."""
 
 import time
-from typing import Any
 
 from yarrowwall import decisions
 from yarrowwall.decisions import DecisionLog
@@ -51,7 +50,9 @@
             log,
             time.monotonic,
         )
-        servers = ServerList(documents, directory, self._services, log, time.monotonic)
+        servers = ServerList(
+            documents, directory, lambda: gateway.admission.services, log, time.monotonic
+        )
         self._followers = [
             KindFollower(
                 store,
@@ -123,10 +124,6 @@
         if self._gateway.put_in_force(configuration):
             self._directory.take_services(configuration.services)
 
-    def _services(self) -> dict[str, Any]:
-        table = self._gateway.table
-        return table.configuration.services if table is not None else {}
-
     # Groups of replicas
 
     def _groups_listed(self, items: list[StoredObject]) -> None:
--- a/yarrowwall/policy/retry_after.py
+++ b/yarrowwall/policy/retry_after.py
@@ -39,7 +39,7 @@
 UNKNOWN_ROOM_SPREAD = 0.5
 
 
-def patience_s(left_s: float) -> float:
+def caller_patience_s(left_s: float) -> float:
     """Return for how long a caller waits at most before it comes back.
 
     :param left_s: until its deadline.
@@ -65,23 +65,23 @@
     return min(max(free_in_s, LIMIT_LEAST_SECONDS), LIMIT_MOST_SECONDS)
 
 
-def after_turn_s(turn_in_s: float, patience: float, program: int) -> float:
+def after_turn_s(turn_in_s: float, patience_s: float, program: int) -> float:
     """Return when a program should come back that waits for room among others.
 
     :param turn_in_s: until it should be its turn.
-    :param patience: seconds that its caller waits; who would wait longer comes one after another.
+    :param patience_s: for how long its caller waits; who would wait longer comes one after another.
     :param program: by which those are spread.
     """
-    longest_s = patience * (1.0 - ROOM_SPREAD + ROOM_SPREAD * fraction_of(program))
+    longest_s = patience_s * (1.0 - ROOM_SPREAD + ROOM_SPREAD * fraction_of(program))
     return max(ROOM_LEAST_SECONDS, min(turn_in_s, longest_s))
 
 
-def after_unknown_room_s(patience: float, program: int) -> float:
+def after_unknown_room_s(patience_s: float, program: int) -> float:
     """Return when a program should come back if nobody knows when there is room.
 
-    :param patience: seconds that its caller waits.
+    :param patience_s: for how long its caller waits.
     :param program: by which returns are spread.
     """
-    longest_s = min(patience, UNKNOWN_ROOM_MOST_SECONDS)
+    longest_s = min(patience_s, UNKNOWN_ROOM_MOST_SECONDS)
     spread = UNKNOWN_ROOM_SPREAD * fraction_of(program)
     return longest_s * (1.0 - UNKNOWN_ROOM_SPREAD + spread)
--- a/yarrowwall/replication/planner.py
+++ b/yarrowwall/replication/planner.py
@@ -101,8 +101,13 @@
     emptied = [member for member in holding if member.node_id in retiring]
     joining += emptied[: max(0, _fewest_copies(view.group, size) - len(joining))]
     # So does a silent one: it may come back with its disk.
-    silent = [one for one in view.members if one.node_id not in {*alive, *retiring}]
-    silent = [one for one in silent if not _has_other_disk(one, registered)]
+    silent = [
+        member
+        for member in view.members
+        if member.node_id not in alive
+        and member.node_id not in retiring
+        and not _has_other_disk(member, registered)
+    ]
     joining += silent[: max(0, len(view.members) - len(joining))]
     if not joining or set(disk_ids(joining)) == set(disk_ids(view.members)):
         return None
