--- a/yarrowwall/gateway/http_server.py
+++ b/yarrowwall/gateway/http_server.py
@@ -1,12 +1,14 @@
 """The callers' listener: eventlet's WSGI server with limits that follow the configuration."""
 
+import io
 import socket
-from collections.abc import Callable
+from collections.abc import Callable, Iterable
 from typing import Any
 
 import eventlet.wsgi
 
 from yarrowwall.model import CallerLimits
+from yarrowwall.sockets import send_some
 
 #: Key of the environment under which the application finds the connection's handler.
 PROTOCOL_KEY = "yarrowwall.connection"
@@ -24,6 +26,28 @@
 _MOST_CONNECTIONS = 3000
 
 
+class _CallerWriter(io.RawIOBase):
+    """Writes answers to a caller; the time-out counts anew whenever it takes something."""
+
+    def __init__(self, connection: socket.socket) -> None:
+        self._connection = connection
+
+    def writable(self) -> bool:
+        """Return that this may be written to."""
+        return True
+
+    def write(self, data: Any) -> int:
+        """Send all of some bytes."""
+        rest = memoryview(data)
+        while rest:
+            rest = rest[send_some(self._connection, rest) :]
+        return len(data)
+
+    def writelines(self, lines: Iterable[Any]) -> None:
+        """Send the pieces of an answer as one."""
+        self.write(b"".join(lines))
+
+
 class ServerLimits:
     """Limits that every connection looks up anew for each request."""
 
@@ -37,6 +61,13 @@
     class GatewayProtocol(eventlet.wsgi.HttpProtocol):
         """A connection whose waits are bounded by the configuration in force."""
 
+        wfile: Any
+
+        def setup(self) -> None:
+            super().setup()
+            self.wfile.close()
+            self.wfile = _CallerWriter(self.connection)
+
         def _read_request_line(self) -> bytes:
             self.connection.settimeout(limits.current.idle_seconds)
             line = super()._read_request_line()
--- a/yarrowwall/sockets.py
+++ b/yarrowwall/sockets.py
@@ -4,6 +4,7 @@
 raises ``EOFError`` into its hub when another greenthread closes the socket.
 """
 
+import errno
 import socket
 import time
 from typing import Any
@@ -80,6 +81,28 @@
             raise ConnectionAbortedError("closed here") from error
 
 
+def send_some(connection: socket.socket, data: bytes | memoryview) -> int:
+    """Send bytes within the connection's time-out; return how many were taken.
+
+    The library's own ``send`` keeps the error of its time-out in a frame that the error leads back
+    to, so all that was under way stays in memory until the garbage collector comes by.
+
+    :raises TimeoutError: if the peer takes nothing in time.
+    :raises OSError: if the connection fails, is reset or is closed here meanwhile.
+    """
+    raw = connection.fd  # type: ignore[attr-defined]  # the non-blocking socket below
+    while True:
+        try:
+            return int(raw.send(data))
+        except BlockingIOError:
+            pass
+        timeout = connection.gettimeout()
+        try:
+            trampoline(raw, write=True, timeout=timeout, timeout_exc=TimeoutError)
+        except IOClosed as error:
+            raise ConnectionResetError(errno.ECONNRESET, "closed here") from error
+
+
 class Receiver:
     """Receives from one connection for as long as that lasts.
 
@@ -153,7 +176,7 @@
     end = time.monotonic() + timeout
     while rest:
         connection.settimeout(max(end - time.monotonic(), 0.001))
-        rest = rest[connection.send(rest) :]
+        rest = rest[send_some(connection, rest) :]
 
 
 def _send_now(connection: socket.socket, data: bytes) -> int:
