--- a/features/steps/placement_steps.py
+++ b/features/steps/placement_steps.py
@@ -19,7 +19,7 @@
     TellLoad,
 )
 from yarrowwall.model import EngineTraits, Incarnation, PromptPart, Server, Service
-from yarrowwall.policy.programs_under_way import ProgramsUnderWay
+from yarrowwall.policy.active_programs import ActivePrograms
 from yarrowwall.policy.server_choice import PlacementRequest, ServerChooser
 from yarrowwall.policy.servers import ServerDirectory
 from yarrowwall.replication.group_views import GroupViews
@@ -71,12 +71,12 @@
 
 @when('other gateways tell of {count:d} requests at "{one}" and "{two}" and none at "{free}"')
 def others_tell_of_two(context: Context, count: int, one: str, two: str, free: str) -> None:
-    context.engines.take_loads({one: count, two: count}, context.now)
+    context.engines.update_loads({one: count, two: count}, context.now)
 
 
 @when('other gateways tell of {count:d} requests at "{full}" and none at "{free}"')
 def others_tell(context: Context, count: int, full: str, free: str) -> None:
-    context.engines.take_loads({full: count}, context.now)
+    context.engines.update_loads({full: count}, context.now)
 
 
 @when("{seconds:f} s pass without news of them")
@@ -87,7 +87,7 @@
 @when('events of "{slow}" take {slow_ms:d} ms and those of "{one}" and "{other}" {usual_ms:d} ms')
 def paces(context: Context, slow: str, slow_ms: int, one: str, other: str, usual_ms: int) -> None:
     for name, pace_ms in ((slow, slow_ms), (one, usual_ms), (other, usual_ms)):
-        context.engines.note_pace(Incarnation(name), pace_ms / 1000.0, context.now)
+        context.engines.note_service_time(Incarnation(name), pace_ms / 1000.0, context.now)
 
 
 @then('{count:d} new programs all go to "{name}"')
@@ -141,13 +141,13 @@
     context: Context, one: str, first: int, at: str, two: str, second: int, same: str
 ) -> None:
     context.board = LoadBoard()
-    context.board.take(one, {at: first}, NOW)
-    context.board.take(two, {same: second}, NOW)
+    context.board.record_report(one, {at: first}, NOW)
+    context.board.record_report(two, {same: second}, NOW)
 
 
 @then('"{gateway}" is told of {count:d} requests at "{server}"')
 def is_told(context: Context, gateway: str, count: int, server: str) -> None:
-    assert context.board.others(gateway)[server] == count
+    assert context.board.loads_of_others(gateway)[server] == count
 
 
 @then(
@@ -157,15 +157,15 @@
 def told_later(
     context: Context, seconds: float, reporter: str, gateway: str, count: int, server: str
 ) -> None:
-    context.board.take(reporter, {server: count}, NOW + seconds)
-    assert context.board.others(gateway)[server] == count
+    context.board.record_report(reporter, {server: count}, NOW + seconds)
+    assert context.board.loads_of_others(gateway)[server] == count
 
 
 @given("a load board with {count:d} reporting gateways")
 def board_with(context: Context, count: int) -> None:
     context.board = LoadBoard()
     for number in range(count):
-        context.board.take(f"g{number}", {}, NOW)
+        context.board.record_report(f"g{number}", {}, NOW)
 
 
 @then("they are to report every {seconds:f} s")
@@ -206,15 +206,15 @@
 
 @when("the configuration comes")
 def configuration_comes(context: Context) -> None:
-    context.engines.take_services(context.services)
+    context.engines.update_services(context.services)
 
 
 @then('a prompt of {count:d} parts that "{name}" read is believed to be kept there whole')
 def kept_whole(context: Context, count: int, name: str) -> None:
     prompt = [PromptPart(f"part-{number}", 1000) for number in range(count)]
-    belief = context.engines.states[name].belief
-    belief.note_sent(prompt)
-    assert belief.cached_tokens(prompt) == 1000 * count
+    prefix_cache = context.engines.states[name].prefix_cache
+    prefix_cache.note_sent(prompt)
+    assert prefix_cache.cached_tokens(prompt) == 1000 * count
 
 
 class _BoardLink:
@@ -228,7 +228,7 @@
         """Take a report and answer it."""
         if not self.is_silent:
             self._take(message)
-            others = self.board.others(message.node_id)
+            others = self.board.loads_of_others(message.node_id)
             completion(LoadReply(list(others), list(others.values()), 0.1, 2))
         return 1
 
@@ -239,7 +239,7 @@
 
     def _take(self, message: ReportLoad | TellLoad) -> None:
         running = dict(zip(message.servers, message.running, strict=True))
-        self.board.take(message.node_id, running, NOW)
+        self.board.record_report(message.node_id, running, NOW)
 
     def forget(self, number: int, is_late: bool = False) -> None:
         """Wait no more for a reply."""
@@ -263,7 +263,7 @@
     views.take(GroupView(0, 1, [Member("r1", "disk-1", "127.0.0.1:2", "zone-a")], []))
     context.directories = {name: directory([engine], 6) for name in (one, two)}
     context.reporters = {
-        name: LoadReporter(name, known, views, context.links, lambda: NOW, ProgramsUnderWay())
+        name: LoadReporter(name, known, views, context.links, lambda: NOW, ActivePrograms())
         for name, known in context.directories.items()
     }
 
@@ -272,16 +272,16 @@
 def turn_changes(context: Context, gateway: str, change: str, engine: str) -> None:
     known = context.directories[gateway]
     if change == "starts":
-        context.place = known.started(Incarnation(engine))
+        context.place = known.note_started(Incarnation(engine))
     else:
         context.place.running -= 1
-    context.reporters[gateway].tell()
+    context.reporters[gateway].report_loads()
 
 
 @when('"{gateway}" asks for the loads')
 def asks_for_loads(context: Context, gateway: str) -> None:
     began = time.monotonic()
-    context.reporters[gateway].ask().wait()
+    context.reporters[gateway].request_loads().wait()
     context.waited_s = time.monotonic() - began
 
 
--- a/features/steps/quota_proof_steps.py
+++ b/features/steps/quota_proof_steps.py
@@ -157,8 +157,12 @@
     for _ in range(count):
         context.run("short", 3)
         context.run("long", 11)
-    assert 6.0 <= context.sizes.expected("short") <= 8.0, context.sizes.expected("short")
-    assert 23.0 <= context.sizes.expected("long") <= 28.0, context.sizes.expected("long")
+    assert 6.0 <= context.sizes.expected_requests("short") <= 8.0, context.sizes.expected_requests(
+        "short"
+    )
+    assert 23.0 <= context.sizes.expected_requests("long") <= 28.0, context.sizes.expected_requests(
+        "long"
+    )
 
 
 LENDERS = ("a1", "a2", "b1", "b2", "c1")
--- a/features/steps/room_steps.py
+++ b/features/steps/room_steps.py
@@ -26,18 +26,18 @@
     Way,
 )
 from yarrowwall.messages.capacity import AskRoom
-from yarrowwall.policy.own_share import BLIND_FACTOR, OwnShare
-from yarrowwall.policy.program_admission import ProgramAdmission
-from yarrowwall.policy.programs_under_way import (
-    FIRST_PAUSE_SECONDS,
-    LIKELY_FACTOR,
-    MOST_LIKELY_SECONDS,
-    MOST_PROGRAMS,
+from yarrowwall.policy.active_programs import (
+    CONTINUATION_FACTOR,
+    INITIAL_PAUSE_SECONDS,
+    MAX_CONTINUATION_SECONDS,
+    MAX_PROGRAMS,
     PAUSE_WEIGHT,
-    ProgramsUnderWay,
+    ActivePrograms,
 )
-from yarrowwall.policy.returns import GRACE_SECONDS
-from yarrowwall.policy.room import PLACES_SHARE, ServiceRoom, UnderWay
+from yarrowwall.policy.capacity_forecast import SLOTS_SHARE, ReportedPrograms, ServiceCapacity
+from yarrowwall.policy.local_admission import STALE_LOADS_FACTOR, LocalAdmission
+from yarrowwall.policy.program_admission import ProgramAdmission
+from yarrowwall.policy.retry_queue import GRACE_SECONDS
 from yarrowwall.policy.tenant_shares import TenantShares, water_level
 
 #: What a program that ends late is worth, in parts of one in time: callers give 0.12 to 0.46.
@@ -233,13 +233,13 @@
     )
     def check(taken: int, between: int, comers: list[tuple[int, str]]) -> None:
         admission = ProgramAdmission()
-        under_way = UnderWay(between, 0)
+        under_way = ReportedPrograms(between, 0)
         begun = {
             program
             for program, tenant in comers
             if admission.decide(question(program, tenant, taken), under_way, NOW).is_admitted
         }
-        room = max(0.0, PLACES_SHARE * 100 - taken)
+        room = max(0.0, SLOTS_SHARE * 100 - taken)
         assert len(begun) <= room, (len(begun), room)
 
     check()
@@ -256,7 +256,7 @@
             for count in range(150)
             if admission.decide(
                 dataclasses.replace(ask, program=count, taken=count, memory_tokens=memory_tokens),
-                UnderWay(),
+                ReportedPrograms(),
                 NOW + count,
             ).is_admitted
         )
@@ -268,7 +268,7 @@
     admission = ProgramAdmission()
     for program in range(programs):
         ask = dataclasses.replace(usual, program=program)
-        assert admission.decide(ask, UnderWay(), NOW + program).is_admitted
+        assert admission.decide(ask, ReportedPrograms(), NOW + program).is_admitted
     return admission
 
 
@@ -277,7 +277,7 @@
     usual = dataclasses.replace(question(0, taken=90), memory_tokens=50_000)
     admission = admission_of(usual, 20)
     large = dataclasses.replace(usual, program=20, tokens=1000)
-    assert admission.decide(large, UnderWay(), NOW + 20.0).is_admitted
+    assert admission.decide(large, ReportedPrograms(), NOW + 20.0).is_admitted
 
 
 @then("a conversation that goes on is let in before all new programs, however late it is")
@@ -297,7 +297,7 @@
         at_s = NOW
         while at_s <= ends_s:
             for ask in asks:
-                assert not admission.decide(ask, UnderWay(), at_s).is_admitted
+                assert not admission.decide(ask, ReportedPrograms(), at_s).is_admitted
             at_s += 0.3
         # There is room for half of the conversations.
         free = (continued + 1) // 2
@@ -305,7 +305,7 @@
             ask.program
             for ask in asks
             if admission.decide(
-                dataclasses.replace(ask, taken=80 - free), UnderWay(), at_s
+                dataclasses.replace(ask, taken=80 - free), ReportedPrograms(), at_s
             ).is_admitted
         ]
         assert begun == list(range(100, 100 + free)), (begun, free)
@@ -318,10 +318,10 @@
     admission = admission_of(question(0, taken=70), 20)
     # One gateway takes half of the servers for slow.
     low = question(20, taken=70, places=50)
-    assert admission.decide(low, UnderWay(), NOW + 19.5).is_admitted
+    assert admission.decide(low, ReportedPrograms(), NOW + 19.5).is_admitted
     # What was believed long ago counts no more.
     assert not admission.decide(
-        dataclasses.replace(low, program=21), UnderWay(), NOW + 30.0
+        dataclasses.replace(low, program=21), ReportedPrograms(), NOW + 30.0
     ).is_admitted
 
 
@@ -330,9 +330,9 @@
     usual = dataclasses.replace(question(0, taken=90), memory_tokens=50_000)
     admission = admission_of(usual, 200)
     huge = dataclasses.replace(usual, program=200, tokens=30_000)
-    assert admission.decide(huge, UnderWay(), NOW + 200.0).is_admitted
+    assert admission.decide(huge, ReportedPrograms(), NOW + 200.0).is_admitted
     again = dataclasses.replace(usual, program=201)
-    assert admission.decide(again, UnderWay(), NOW + 201.0).is_admitted
+    assert admission.decide(again, ReportedPrograms(), NOW + 201.0).is_admitted
 
 
 @then("of those who come back when they were told, the first refused goes first")
@@ -343,10 +343,10 @@
         admission = ProgramAdmission()
         for program in range(waiting):
             full = question(program, f"t{program}", taken=100)
-            assert not admission.decide(full, UnderWay(), NOW).is_admitted
+            assert not admission.decide(full, ReportedPrograms(), NOW).is_admitted
         back = list(range(waiting + 5))
         rng.shuffle(back)
-        taken = round(PLACES_SHARE * 100) - free
+        taken = round(SLOTS_SHARE * 100) - free
         admitted = set()
         # All are due by now or any moment; the first have not been given up yet.
         later = NOW + 0.25
@@ -356,7 +356,7 @@
                 ask = question(program, f"t{program}", taken, finish_in_s=3.9)
                 if program in admitted:
                     continue
-                if admission.decide(ask, UnderWay(), later).is_admitted:
+                if admission.decide(ask, ReportedPrograms(), later).is_admitted:
                     admitted.add(program)
         assert len(admitted) == min(free, waiting + 5), (admitted, free, waiting)
         assert admitted >= set(range(min(free, waiting))), (admitted, free, waiting)
@@ -368,17 +368,17 @@
 def late_not_starved(context: Context) -> None:
     admission = ProgramAdmission()
     late = question(0, "late", taken=100, finish_in_s=1.0)
-    assert not admission.decide(late, UnderWay(), NOW).is_admitted
+    assert not admission.decide(late, ReportedPrograms(), NOW).is_admitted
     overtaken = 0
     now_s = NOW + 0.9
     for program in range(1, 50):
         now_s += 0.02
         ask = question(program, f"t{program}", taken=79 - program, finish_in_s=4.0)
         # One place is free each time, and the late one asks for it behind the new one.
-        begun = admission.decide(ask, UnderWay(), now_s).is_admitted
+        begun = admission.decide(ask, ReportedPrograms(), now_s).is_admitted
         overtaken += begun
         again = question(0, "late", taken=79 - program, finish_in_s=0.1)
-        if admission.decide(again, UnderWay(), now_s).is_admitted:
+        if admission.decide(again, ReportedPrograms(), now_s).is_admitted:
             break
     assert overtaken <= 4, overtaken
 
@@ -387,11 +387,11 @@
 def nothing_kept_for_ever(context: Context) -> None:
     admission = ProgramAdmission()
     waits = [
-        admission.decide(question(program, taken=100), UnderWay(), NOW).retry_after_s
+        admission.decide(question(program, taken=100), ReportedPrograms(), NOW).retry_after_s
         for program in range(50)
     ]
     later = NOW + max(waits) + GRACE_SECONDS + 0.01
-    reply = admission.decide(question(99, "other", taken=79), UnderWay(), later)
+    reply = admission.decide(question(99, "other", taken=79), ReportedPrograms(), later)
     assert reply.is_admitted and reply.waiting == 0, reply
 
 
@@ -399,7 +399,9 @@
 def spread(context: Context) -> None:
     admission = ProgramAdmission()
     waits = [
-        admission.decide(question(program, f"t{program}", taken=100), UnderWay(), NOW).retry_after_s
+        admission.decide(
+            question(program, f"t{program}", taken=100), ReportedPrograms(), NOW
+        ).retry_after_s
         for program in range(20)
     ]
     assert len({round(wait, 3) for wait in waits}) >= 18, waits
@@ -409,9 +411,9 @@
 @then("an admitted program whose first turn is sent once more takes no second place")
 def sent_again(context: Context) -> None:
     admission = ProgramAdmission()
-    assert admission.decide(question(1, taken=79), UnderWay(), NOW).is_admitted
-    assert not admission.decide(question(2, taken=79), UnderWay(), NOW).is_admitted
-    assert admission.decide(question(1, taken=80), UnderWay(), NOW + 0.3).is_admitted
+    assert admission.decide(question(1, taken=79), ReportedPrograms(), NOW).is_admitted
+    assert not admission.decide(question(2, taken=79), ReportedPrograms(), NOW).is_admitted
+    assert admission.decide(question(1, taken=80), ReportedPrograms(), NOW + 0.3).is_admitted
 
 
 @then("of two tenants the one with twice the agreed rate is over its share at twice as many")
@@ -431,10 +433,10 @@
 @then("a program that its tenant's limit refused after all leaves its room to the next")
 def given_back(context: Context) -> None:
     admission = ProgramAdmission()
-    assert admission.decide(question(1, taken=79), UnderWay(), NOW).is_admitted
-    admission.take_back(1, "t")
-    assert admission.decide(question(2, taken=79), UnderWay(), NOW).is_admitted
-    assert not admission.decide(question(1, taken=79), UnderWay(), NOW).is_admitted
+    assert admission.decide(question(1, taken=79), ReportedPrograms(), NOW).is_admitted
+    admission.cancel(1, "t")
+    assert admission.decide(question(2, taken=79), ReportedPrograms(), NOW).is_admitted
+    assert not admission.decide(question(1, taken=79), ReportedPrograms(), NOW).is_admitted
 
 
 @then("all of a capacity is shared out, and nobody goes without while another has more")
@@ -458,10 +460,10 @@
     @settings(max_examples=200, deadline=None)
     @for_all(st.integers(1, 300), st.integers(0, 464), st.integers(1, 10))
     def check(gateways: int, taken: int, each: int) -> None:
-        room = ServiceRoom(taken, 464, taken, 464, 0, 0.1)
-        shares = [OwnShare() for _ in range(gateways)]
+        room = ServiceCapacity(taken, 464, taken, 464, 0, 0.1)
+        shares = [LocalAdmission() for _ in range(gateways)]
         begun = sum(share.admits(room, 0, gateways, NOW) for share in shares for _ in range(each))
-        free = PLACES_SHARE * 464 - taken
+        free = SLOTS_SHARE * 464 - taken
         assert room.is_open or begun <= max(0.0, free) + gateways, (begun, free)
 
     check()
@@ -469,19 +471,19 @@
 
 @then("a gateway that is told nothing keeps to {factor:d} times its even part")
 def blind(context: Context, factor: int) -> None:
-    assert factor == BLIND_FACTOR
-    room = ServiceRoom(0, 464, 0, 464, 0, 5.0)
-    share = OwnShare()
+    assert factor == STALE_LOADS_FACTOR
+    room = ServiceCapacity(0, 464, 0, 464, 0, 5.0)
+    share = LocalAdmission()
     own = 0
     while share.admits(room, own, 29, NOW):
         own += 1
-    bound = factor * PLACES_SHARE * 464 / 29
+    bound = factor * SLOTS_SHARE * 464 / 29
     assert own - 1 < bound <= own, own
 
 
 @then("a program counts between its turns for as long as it is likely to go on")
 def counts_between(context: Context) -> None:
-    programs = ProgramsUnderWay()
+    programs = ActivePrograms()
     programs.begin_turn(1, "models", 3000, NOW)
     assert programs.by_service(NOW + 9.0) == [("models", 0, 3000)]
     programs.end_turn(1, NOW + 9.0)
@@ -494,7 +496,7 @@
 
     def __init__(self) -> None:
         self._known: dict[int, list[Any]] = {}
-        self._usual_s = FIRST_PAUSE_SECONDS
+        self._usual_s = INITIAL_PAUSE_SECONDS
 
     def begin_turn(self, program: int, service: str, tokens: int, now_s: float) -> None:
         """Take in that a turn begins."""
@@ -503,7 +505,7 @@
             self._usual_s += PAUSE_WEIGHT * (now_s - known[3] - self._usual_s)
         service, turns, longest, _ = known or [service, 0, 0, now_s]
         self._known[program] = [service, turns + 1, max(longest, tokens), now_s]
-        if len(self._known) > MOST_PROGRAMS:
+        if len(self._known) > MAX_PROGRAMS:
             del self._known[next(iter(self._known))]
 
     def end_turn(self, program: int, now_s: float) -> None:
@@ -516,13 +518,13 @@
 
     def by_service(self, now_s: float) -> dict[str, tuple[int, int]]:
         """Return programs between two turns, and tokens, by service."""
-        since_s = now_s - min(LIKELY_FACTOR * self._usual_s, MOST_LIKELY_SECONDS)
+        since_s = now_s - min(CONTINUATION_FACTOR * self._usual_s, MAX_CONTINUATION_SECONDS)
         found: dict[str, tuple[int, int]] = {}
         for program, (service, turns, tokens, seen_s) in list(self._known.items()):
             if turns or seen_s >= since_s:
                 between, held = found.get(service, (0, 0))
                 found[service] = (between + (not turns), held + tokens)
-            elif seen_s < now_s - MOST_LIKELY_SECONDS:
+            elif seen_s < now_s - MAX_CONTINUATION_SECONDS:
                 del self._known[program]
         return found
 
@@ -539,7 +541,7 @@
     @settings(max_examples=300, deadline=None)
     @for_all(st.lists(happenings, max_size=120))
     def check(course: list[tuple[str, int, int, float]]) -> None:
-        kept, anew = ProgramsUnderWay(), _AddedUp()
+        kept, anew = ActivePrograms(), _AddedUp()
         now_s = NOW
         for what, program, tokens, pause_s in course:
             now_s += pause_s
@@ -557,9 +559,9 @@
 
 @then("beyond the most that are remembered, the one seen longest ago is forgotten")
 def oldest_forgotten(context: Context) -> None:
-    kept, anew = ProgramsUnderWay(), _AddedUp()
+    kept, anew = ActivePrograms(), _AddedUp()
     for programs in (kept, anew):
-        for program in range(MOST_PROGRAMS + 100):
+        for program in range(MAX_PROGRAMS + 100):
             programs.begin_turn(program, "models", program, NOW + program * 1e-4)
             if program % 3:
                 programs.end_turn(program, NOW + program * 1e-4)
--- a/features/steps/server_life_steps.py
+++ b/features/steps/server_life_steps.py
@@ -59,11 +59,11 @@
     incarnation = Incarnation(name, born)
     directory = context.directory
     directory.put(told(incarnation, is_draining=True), SERVICES, NOW_S)
-    directory.note_pace(incarnation, 3.0, NOW_S)
+    directory.note_service_time(incarnation, 3.0, NOW_S)
     directory.note_failure(incarnation, NOW_S)
-    directory.started(incarnation)
-    directory.take_loads({incarnation.text: 5}, NOW_S)
-    directory.states[name].belief.note_sent(PROMPT)
+    directory.note_started(incarnation)
+    directory.update_loads({incarnation.text: 5}, NOW_S)
+    directory.states[name].prefix_cache.note_sent(PROMPT)
 
 
 @when('life {born:d} of "{name}" is told')
@@ -101,8 +101,14 @@
 def is_new(context: Context, name: str, born: int) -> None:
     state = context.directory.states[name]
     assert state.server.born_ms == born
-    assert state.belief.cached_tokens(PROMPT) == 0
-    seen = (state.failures, state.suspended_until, state.pace, state.running, state.elsewhere)
+    assert state.prefix_cache.cached_tokens(PROMPT) == 0
+    seen = (
+        state.failures,
+        state.suspended_until,
+        state.service_time_s,
+        state.running,
+        state.running_elsewhere,
+    )
     assert seen == (0, 0.0, None, 0, 0), seen
     assert state.draining_at is None
     assert state.heard_at == 0.0
@@ -124,7 +130,9 @@
 def requests_begin(context: Context, count: int, name: str) -> None:
     incarnation = context.directory.states[name].server.incarnation
     places = context.places = getattr(context, "places", {})
-    places[incarnation.born_ms] = [context.directory.started(incarnation) for _ in range(count)]
+    places[incarnation.born_ms] = [
+        context.directory.note_started(incarnation) for _ in range(count)
+    ]
 
 
 @when("the {count:d} requests of life {born:d} end")
@@ -136,7 +144,7 @@
 
 @when('another gateway tells of {count:d} requests at life {born:d} of "{name}"')
 def other_tells(context: Context, count: int, born: int, name: str) -> None:
-    context.directory.take_loads({Incarnation(name, born).text: count}, context.now_s)
+    context.directory.update_loads({Incarnation(name, born).text: count}, context.now_s)
 
 
 @then('{count:d} requests are under way at "{name}"')
--- a/features/steps/slow_reader_steps.py
+++ b/features/steps/slow_reader_steps.py
@@ -33,7 +33,7 @@
     MemoryBounds,
     MemoryBudget,
     MemoryExhaustedError,
-    MemoryHold,
+    RequestMemory,
 )
 
 KILOBYTE = 1024
@@ -64,20 +64,20 @@
 @when("callers hold {size:d} bytes in pieces of {piece:d}")
 def callers_hold(context: Context, size: int, piece: int) -> None:
     while context.budget.held < size:
-        context.holds.append(context.budget.open())
+        context.holds.append(context.budget.open_request())
         context.holds[-1].grow(piece)
-        assert not context.budget.is_near or context.budget.held >= 0
+        assert not context.budget.is_nearly_full or context.budget.held >= 0
     while context.budget.held > size:
         context.holds.pop().close()
-        context.budget.may_begin(0)
+        context.budget.accepts_request(0)
 
 
 @then("a request of {size:d} bytes is {what}")
 def request_is(context: Context, size: int, what: str) -> None:
-    assert context.budget.may_begin(size) == (what == "taken")
+    assert context.budget.accepts_request(size) == (what == "taken")
 
 
-def _fits(hold: MemoryHold, size: int, server: str = "") -> bool:
+def _fits(hold: RequestMemory, size: int, server: str = "") -> bool:
     try:
         hold.grow(size, server)
     except MemoryExhaustedError:
@@ -87,7 +87,7 @@
 
 @then("a caller may hold {most:d} bytes and not {more:d}")
 def caller_bound(context: Context, most: int, more: int) -> None:
-    hold = context.budget.open()
+    hold = context.budget.open_request()
     assert _fits(hold, most)
     assert not _fits(hold, more - most)
     hold.close()
@@ -96,7 +96,7 @@
 
 @then("{count:d} callers may hold {most:d} bytes of one server and not {more:d}")
 def server_bound(context: Context, count: int, most: int, more: int) -> None:
-    holds = [context.budget.open() for _ in range(count)]
+    holds = [context.budget.open_request() for _ in range(count)]
     assert all(_fits(hold, most // count, "e1") for hold in holds)
     assert not _fits(holds[0], more - most, "e1")
     assert _fits(holds[0], more - most, "e2")
@@ -110,7 +110,7 @@
 def check_budget(steps: list[tuple[int, int, str]]) -> None:
     """Let requests hold and release; compare the sums with a count of their own."""
     budget = MemoryBudget(MemoryBounds(1_000, 400, 500))
-    holds: dict[int, MemoryHold] = {}
+    holds: dict[int, RequestMemory] = {}
     taken: dict[int, list[tuple[int, str]]] = {}
     for number, size, server in steps:
         if server == "close":
@@ -118,7 +118,7 @@
                 holds.pop(number).close()
                 taken.pop(number)
             continue
-        hold = holds.setdefault(number, budget.open())
+        hold = holds.setdefault(number, budget.open_request())
         if _fits(hold, size, server):
             taken.setdefault(number, []).append((size, server))
         else:
@@ -126,7 +126,11 @@
         pieces = [piece for one in taken.values() for piece in one]
         assert budget.held == sum(piece for piece, _ in pieces) <= 1_000
         for name in ("e1", "e2"):
-            assert budget.held_for(name) == sum(size for size, of in pieces if of == name) <= 500
+            assert (
+                budget.held_for_server(name)
+                == sum(size for size, of in pieces if of == name)
+                <= 500
+            )
         assert hold.size == sum(piece for piece, _ in taken[number]) <= 400
 
 
--- a/features/steps/spent_budget_steps.py
+++ b/features/steps/spent_budget_steps.py
@@ -20,7 +20,7 @@
 from yarrowwall.gateway.exchange import Exchange
 from yarrowwall.messages.replicated import GroupView, Member, StoredRecord
 from yarrowwall.model import Attempt, ProgramContext, RequestKind, Route
-from yarrowwall.policy.budget_parts import divide
+from yarrowwall.policy.budget_parts import divide_budget
 from yarrowwall.policy.request_time import RequestTime
 from yarrowwall.ports.programs import TurnGrant
 from yarrowwall.replication.exceptions import NoQuorumError
@@ -256,7 +256,7 @@
 def another_holds(context: Context, tokens: int, others: str) -> None:
     groups = context.groups
     groups.silent.clear()
-    part = divide(context.budget, len(ZONE_GROUPS)).of_zone
+    part = divide_budget(context.budget, len(ZONE_GROUPS)).per_zone
     for group, held in {COMMON: tokens, **dict.fromkeys(ZONE_GROUPS[1:], part)}.items():
         key = "budget/looper/other"
         groups.keep(group, StoredRecord(key, 1, "looper", "", RETENTION_SECONDS, held, b""))
--- a/features/steps/start_steps.py
+++ b/features/steps/start_steps.py
@@ -17,7 +17,7 @@
 from features.support.platform_world import Arrival, QuietHandler
 from features.support.processes import free_addresses, wait_until
 from yarrowwall.addresses import split_address
-from yarrowwall.capacity.program_rooms import NO_ROOM
+from yarrowwall.capacity.admission_client import NO_CAPACITY
 from yarrowwall.cli.conversations import conversations
 from yarrowwall.cli.failures import failures
 from yarrowwall.machine.listeners import EarlyListeners
@@ -275,8 +275,8 @@
 def all_late(context: Context, count: int) -> None:
     context.sent_again = 0
     for _ in range(count):
-        context.budget.earn("records")
-        context.sent_again += context.budget.take("records")
+        context.budget.deposit("records")
+        context.sent_again += context.budget.try_withdraw("records")
 
 
 @then("at most {most:d} of them are sent again")
@@ -341,7 +341,7 @@
     "for which there is no room": (
         "fetched",
         503,
-        f"{NO_ROOM} a new program: places, 3 of 9 waiting go before",
+        f"{NO_CAPACITY} a new program: places, 3 of 9 waiting go before",
     ),
     "which no server took": ("cached", 503, "server answered 503, not run"),
 }
--- a/features/steps/zone_cut_steps.py
+++ b/features/steps/zone_cut_steps.py
@@ -14,11 +14,11 @@
     ClaimState,
     PartReading,
     Verdict,
-    divide,
-    is_spent,
-    judge,
-    pieces_of,
-    spread,
+    allocate_spent,
+    decide_grant,
+    divide_budget,
+    is_permanently_exhausted,
+    pieces_to_take,
 )
 from yarrowwall.replication.rounds import Amount
 
@@ -39,10 +39,10 @@
     @derandomized(count)
     @drawn(st.integers(0, 10**6), st.integers(0, 9))
     def check(budget: int, zones: int) -> None:
-        parts = divide(budget, zones)
-        assert parts.common + zones * parts.of_zone == budget
+        parts = divide_budget(budget, zones)
+        assert parts.common + zones * parts.per_zone == budget
         assert parts.common >= 0
-        assert parts.of_zone >= 0
+        assert parts.per_zone >= 0
         assert zones or parts.common == budget
 
     check()
@@ -53,8 +53,8 @@
     @derandomized(count)
     @drawn(st.integers(0, 1000), st.integers(1, 4), TURNS, st.data())
     def check(budget: int, zones: int, turns: list, data: st.DataObject) -> None:
-        parts = divide(budget, zones)
-        sizes = {0: parts.common} | dict.fromkeys(range(1, zones + 1), parts.of_zone)
+        parts = divide_budget(budget, zones)
+        sizes = {0: parts.common} | dict.fromkeys(range(1, zones + 1), parts.per_zone)
         held: dict[int, dict[str, Amount]] = {group: {} for group in sizes}
         for number, (wanted, share, zone) in enumerate(turns):
             asked = data.draw(st.sets(st.sampled_from(sorted(sizes)), min_size=1))
@@ -64,20 +64,20 @@
                 group: PartReading(sizes[group], wanted, dict(held[group])) for group in order
             }
             unread = sum(size for group, size in sizes.items() if group not in asked)
-            verdict = judge(readings, f"t{number:03}", wanted, unread)
+            verdict = decide_grant(readings, f"t{number:03}", wanted, unread)
             used = sum(claim.tokens for claims in held.values() for claim in claims.values())
             if verdict is Verdict.EXHAUSTED:
                 assert used + wanted > budget
-            if is_spent(readings, wanted, unread):
+            if is_permanently_exhausted(readings, wanted, unread):
                 settled = _settled(held.values())
                 assert settled + wanted > budget
                 assert verdict is Verdict.EXHAUSTED
             if verdict not in (Verdict.GRANTED, Verdict.SHORT):
                 continue
-            pieces = pieces_of(readings, wanted)
+            pieces = pieces_to_take(readings, wanted)
             emitted = sum(pieces.values()) * share // 100
             state = data.draw(st.sampled_from((ClaimState.GRANTED, ClaimState.SETTLED)))
-            counted = spread(pieces, emitted) if state is ClaimState.SETTLED else pieces
+            counted = allocate_spent(pieces, emitted) if state is ClaimState.SETTLED else pieces
             for group, tokens in counted.items():
                 held[group][f"t{number:03}"] = Amount(state, tokens)
                 assert sum(claim.tokens for claim in held[group].values()) <= sizes[group]
@@ -92,7 +92,7 @@
         st.dictionaries(st.integers(0, 5), st.integers(0, 500), min_size=1), st.integers(0, 3000)
     )
     def check(pieces: dict[int, int], tokens: int) -> None:
-        spent = spread(pieces, tokens)
+        spent = allocate_spent(pieces, tokens)
         assert sum(spent.values()) == tokens
         if tokens <= sum(pieces.values()):
             assert all(spent[group] <= held for group, held in pieces.items())
--- a/features/support/following_mutants.py
+++ b/features/support/following_mutants.py
@@ -49,7 +49,7 @@
         reader_store.ReaderStore, "_note_back", lambda self: None
     ),
     "a gateway never asks for itself": lambda: patch.object(
-        Freshness, "is_worth_asking", lambda self, now_s: False
+        Freshness, "should_query_store", lambda self, now_s: False
     ),
     "a configuration is listed from an old copy": lambda: patch.object(
         KindFollower, "_list", _lists_stale
--- a/features/support/placement_model.py
+++ b/features/support/placement_model.py
@@ -156,12 +156,12 @@
             self._at(self._report_s, lambda: self._report(gateway))
 
     def _tell(self, gateway: int) -> None:
-        running = self._gateways[gateway].running()
-        self._board.take(f"g{gateway}", running, self._now_s)
+        running = self._gateways[gateway].running_by_incarnation()
+        self._board.record_report(f"g{gateway}", running, self._now_s)
 
     def _take(self, gateway: int) -> None:
-        others = self._board.others(f"g{gateway}")
-        self._gateways[gateway].take_loads(others, self._now_s)
+        others = self._board.loads_of_others(f"g{gateway}")
+        self._gateways[gateway].update_loads(others, self._now_s)
 
     def _ask(self, program: Program) -> None:
         gateway = self._rng.randrange(GATEWAYS // ZONES) * ZONES + program.zone
@@ -180,8 +180,8 @@
         choice = self._choosers[gateway].choose(SERVICE, (), self._now_s, request)
         assert choice is not None
         name = choice.server.server_id
-        known.started(Incarnation(name))
-        known.states[name].belief.note_sent(prompt)
+        known.note_started(Incarnation(name))
+        known.states[name].prefix_cache.note_sent(prompt)
         program.last_server = name
         self._tell_soon(gateway)
         turn = Turn(program, gateway, self._rank(program), self._now_s)
--- a/features/support/room_model.py
+++ b/features/support/room_model.py
@@ -3,7 +3,7 @@
 Admission is the product's; engines, callers and the ways between are modelled. An engine computes
 steps: each makes one token of every running turn whose prompt is read, and reads a piece of the
 others' prompts, which holds all of them up. What it read stays until memory is wanted for something
-newer. A caller comes back as :mod:`yarrowwall.policy.returns` takes for granted.
+newer. A caller comes back as :mod:`yarrowwall.policy.retry_queue` takes for granted.
 """
 
 import heapq
@@ -16,9 +16,9 @@
 from typing import NamedTuple
 
 from yarrowwall.messages.capacity import AskRoom
-from yarrowwall.policy.own_share import OwnShare
+from yarrowwall.policy.capacity_forecast import REFUSAL_SHARE, ReportedPrograms, ServiceCapacity
+from yarrowwall.policy.local_admission import LocalAdmission
 from yarrowwall.policy.program_admission import ProgramAdmission
-from yarrowwall.policy.room import REFUSE_FROM_SHARE, ServiceRoom, UnderWay
 from yarrowwall.policy.urgency import LATE_RANK, RANK_SECONDS
 
 ENGINES = 29
@@ -139,14 +139,14 @@
     """A way to admit programs."""
 
     @abstractmethod
-    def decide(self, ask: AskRoom, under_way: UnderWay, now_s: float) -> Verdict:
+    def decide(self, ask: AskRoom, under_way: ReportedPrograms, now_s: float) -> Verdict:
         """Return whether a program may begin."""
 
 
 class LetIn(Way):
     """Every program begins at once."""
 
-    def decide(self, ask: AskRoom, under_way: UnderWay, now_s: float) -> Verdict:
+    def decide(self, ask: AskRoom, under_way: ReportedPrograms, now_s: float) -> Verdict:
         """Return that it may."""
         return Verdict(True)
 
@@ -155,13 +155,13 @@
     """Each gateway decides alone within its part of what is free; whoever is refused comes soon."""
 
     def __init__(self, gateways: int) -> None:
-        self._shares = [OwnShare() for _ in range(gateways)]
+        self._shares = [LocalAdmission() for _ in range(gateways)]
 
-    def decide(self, ask: AskRoom, under_way: UnderWay, now_s: float) -> Verdict:
+    def decide(self, ask: AskRoom, under_way: ReportedPrograms, now_s: float) -> Verdict:
         """Return whether a gateway's part holds one more."""
         age_s = now_s % REPORT_SECONDS
         listed = ENGINES * PLACES
-        room = ServiceRoom(ask.taken, ask.places, ask.taken, listed, ask.memory_tokens, age_s)
+        room = ServiceCapacity(ask.taken, ask.places, ask.taken, listed, ask.memory_tokens, age_s)
         share = self._shares[ask.program % len(self._shares)]
         return Verdict(share.admits(room, 0, len(self._shares), now_s), 0.15)
 
@@ -172,9 +172,9 @@
     def __init__(self) -> None:
         self._admission = ProgramAdmission()
 
-    def decide(self, ask: AskRoom, under_way: UnderWay, now_s: float) -> Verdict:
+    def decide(self, ask: AskRoom, under_way: ReportedPrograms, now_s: float) -> Verdict:
         """Return what the replica says, which is asked only while it is not calm."""
-        if ask.taken < REFUSE_FROM_SHARE * ENGINES * PLACES:
+        if ask.taken < REFUSAL_SHARE * ENGINES * PLACES:
             return Verdict(True)
         reply = self._admission.decide(ask, under_way, now_s)
         return Verdict(reply.is_admitted, reply.retry_after_s)
@@ -286,12 +286,12 @@
             program.is_continued,
         )
 
-    def _under_way(self) -> UnderWay:
+    def _under_way(self) -> ReportedPrograms:
         tokens = sum(program.tokens for program in self._begun.values())
-        return UnderWay(len(self._pausing), round(COUNTED_TOKENS * tokens))
+        return ReportedPrograms(len(self._pausing), round(COUNTED_TOKENS * tokens))
 
     def _refused(self, program: Program, retry_after_s: float) -> None:
-        if sum(engine.load for engine in self._engines) < REFUSE_FROM_SHARE * ENGINES * PLACES:
+        if sum(engine.load for engine in self._engines) < REFUSAL_SHARE * ENGINES * PLACES:
             self.refused_free += 1
         program.refusals += 1
         # A client tries each request once more when it was told to; then its turn goes out anew.
--- a/features/support/zone_mutants.py
+++ b/features/support/zone_mutants.py
@@ -13,14 +13,14 @@
 from yarrowwall.budgets.turn_store import TurnStore, _Found
 from yarrowwall.messages.replicated import StoredRecord
 from yarrowwall.policy import budget_parts
-from yarrowwall.policy.budget_parts import ClaimState, PartReading, Parts, Verdict
+from yarrowwall.policy.budget_parts import BudgetParts, ClaimState, PartReading, Verdict
 from yarrowwall.replication import quorum_client
 from yarrowwall.replication.exceptions import NoQuorumError
 from yarrowwall.replication.operations import Quorum
 from yarrowwall.replication.views import is_zone_group
 
-_divide = budget_parts.divide
-_judge = budget_parts.judge
+_divide = budget_parts.divide_budget
+_judge = budget_parts.decide_grant
 _record = Reservations._record
 _look_everywhere = TurnStore._look_everywhere
 _WRITERS = quorum_client.WRITERS
@@ -30,13 +30,13 @@
     return {group: 0 if is_zone_group(group) else held for group, held in pieces.items()}
 
 
-def _whole_rest_to_each(budget: int, zones: int) -> Parts:
+def _whole_rest_to_each(budget: int, zones: int) -> BudgetParts:
     parts = _divide(budget, zones)
-    return Parts(parts.common, budget - parts.common)
+    return BudgetParts(parts.common, budget - parts.common)
 
 
-def _common_grants_all(budget: int, zones: int) -> Parts:
-    return Parts(budget, _divide(budget, zones).of_zone)
+def _common_grants_all(budget: int, zones: int) -> BudgetParts:
+    return BudgetParts(budget, _divide(budget, zones).per_zone)
 
 
 def _overlooks_running(self: PartReading) -> int:
@@ -92,13 +92,13 @@
 
 MUTANTS: dict[str, Callable[[], AbstractContextManager[Any]]] = {
     "hands a piece back that was spent": lambda: patch.object(
-        reservations, "spread", _hands_all_back
+        reservations, "allocate_spent", _hands_all_back
     ),
     "gives what zones share to each of them": lambda: patch.object(
-        reservations, "divide", _whole_rest_to_each
+        reservations, "divide_budget", _whole_rest_to_each
     ),
     "lets the common group grant what zones hold": lambda: patch.object(
-        reservations, "divide", _common_grants_all
+        reservations, "divide_budget", _common_grants_all
     ),
     "grants a piece twice while its turn runs": lambda: patch.object(
         PartReading, "free", property(_overlooks_running)
@@ -113,7 +113,7 @@
         ReplicatedLedger, "reserve_more", _more_without_a_claim
     ),
     "says 402 although a zone was not asked": lambda: patch.object(
-        reservations, "judge", _everyone_was_asked
+        reservations, "decide_grant", _everyone_was_asked
     ),
     "says 404 without asking the zones": lambda: patch.object(
         TurnStore, "_look_everywhere", _common_alone
--- a/yarrowwall/budgets/budget_requests.py
+++ b/yarrowwall/budgets/budget_requests.py
@@ -5,13 +5,13 @@
 
 from yarrowwall.model import ProgramContext
 from yarrowwall.policy.budget_parts import (
+    BudgetParts,
     ClaimState,
     PartReading,
-    Parts,
+    further_claim_key,
     is_exhausted,
-    is_spent,
-    more_key,
-    pieces_of,
+    is_permanently_exhausted,
+    pieces_to_take,
 )
 from yarrowwall.replication.rounds import Amount
 
@@ -60,7 +60,7 @@
     :param number: of the claim: those that were given up are settled, so each has a key of its own.
     :param given_up: keys of those.
     """
-    key = more_key(wanted.key, number)
+    key = further_claim_key(wanted.key, number)
     return wanted._replace(key=key, tokens=tokens, given_up=frozenset(given_up))
 
 
@@ -119,7 +119,7 @@
     :param zones: how many zones' groups may be asked beside the common one.
     """
 
-    def __init__(self, wanted: Wanted, parts: Parts, zones: int) -> None:
+    def __init__(self, wanted: Wanted, parts: BudgetParts, zones: int) -> None:
         self.wanted = wanted
         self.common = wanted.common
         self._zones = zones
@@ -144,7 +144,7 @@
         """Return the tokens of the parts of which nothing is known."""
         is_common_read = self.common in self.held
         zones_unread = self._zones - (len(self.held) - is_common_read)
-        return zones_unread * self._parts.of_zone + (0 if is_common_read else self._parts.common)
+        return zones_unread * self._parts.per_zone + (0 if is_common_read else self._parts.common)
 
     @property
     def is_exhausted(self) -> bool:
@@ -160,9 +160,9 @@
 
         None if some of them may fit, or if the common group has it.
         """
-        if not self._parts.of_zone or self._is_marked_spent:
+        if not self._parts.per_zone or self._is_marked_spent:
             return None
-        if not is_spent(self.readings, self.wanted.tokens, self.unread):
+        if not is_permanently_exhausted(self.readings, self.wanted.tokens, self.unread):
             return None
         return f"{self._mark_prefix}{self.wanted.tokens}"
 
@@ -180,12 +180,12 @@
     def take(self, group: int, held: GroupHeld) -> None:
         """Take in what a group told."""
         self.held[group] = held
-        self.pieces = pieces_of(self.readings, self.wanted.tokens)
+        self.pieces = pieces_to_take(self.readings, self.wanted.tokens)
 
     def drop(self, group: int) -> None:
         """Take nothing of a group that tells no more."""
         del self.held[group]
-        self.pieces = pieces_of(self.readings, self.wanted.tokens)
+        self.pieces = pieces_to_take(self.readings, self.wanted.tokens)
 
     @property
     def missing(self) -> int:
@@ -209,4 +209,4 @@
         return self.common in self.held and is_blank
 
     def _size(self, group: int) -> int:
-        return self._parts.common if group == self.common else self._parts.of_zone
+        return self._parts.common if group == self.common else self._parts.per_zone
--- a/yarrowwall/budgets/reservations.py
+++ b/yarrowwall/budgets/reservations.py
@@ -33,10 +33,10 @@
 from yarrowwall.policy.budget_parts import (
     ClaimState,
     Verdict,
-    divide,
-    holds_beside_all,
-    judge,
-    spread,
+    allocate_spent,
+    decide_grant,
+    divide_budget,
+    fits_with_all_claims,
 )
 from yarrowwall.replication.exceptions import NoQuorumError
 from yarrowwall.replication.quorum_client import OPERATION_SECONDS, OwnerReading, QuorumClient
@@ -88,7 +88,7 @@
         :raises BudgetExhaustedError: if the budget does not hold it.
         :raises StoreUncertainError: if too few groups could be asked.
         """
-        request = BudgetRequest(wanted, divide(budget, self._zones.parts), self._zones.count)
+        request = BudgetRequest(wanted, divide_budget(budget, self._zones.parts), self._zones.count)
         try:
             verdict = self._ask_groups(request)
             if verdict is Verdict.SHORT:
@@ -128,7 +128,7 @@
     ) -> list[tuple[int, StoredRecord]]:
         """Return the records that replace a reservation by what was emitted, with their groups."""
         wanted = reserved.wanted
-        spent = spread(reserved.pieces, tokens)
+        spent = allocate_spent(reserved.pieces, tokens)
         found = [
             (group, self._record(group, wanted, ClaimState.SETTLED, amount, server_id))
             for group, amount in spent.items()
@@ -275,7 +275,7 @@
             eventlet.sleep(CONTENTION_SECONDS)
             self._look_again(request)
             verdict = self._judge(request)
-        is_full = not holds_beside_all(request.readings, request.wanted.tokens)
+        is_full = not fits_with_all_claims(request.readings, request.wanted.tokens)
         if verdict is Verdict.CONTENDED and is_full and not request.unreachable:
             return Verdict.EXHAUSTED
         return verdict
@@ -283,7 +283,7 @@
     @staticmethod
     def _judge(request: BudgetRequest) -> Verdict:
         wanted = request.wanted
-        return judge(request.readings, wanted.key, wanted.tokens, request.unread)
+        return decide_grant(request.readings, wanted.key, wanted.tokens, request.unread)
 
     def _look_again(self, request: BudgetRequest) -> None:
         """Look at all parts once more."""
--- a/yarrowwall/capacity/room_board.py
+++ b/yarrowwall/capacity/admission_board.py
@@ -5,10 +5,10 @@
 from yarrowwall.policy.program_admission import ProgramAdmission
 
 #: Services that are remembered; beyond it the one asked for longest ago is forgotten.
-MOST_SERVICES = 200
+MAX_SERVICES = 200
 
 
-class RoomBoard:
+class AdmissionBoard:
     """Decides which new programs may begin."""
 
     def __init__(self) -> None:
@@ -19,12 +19,12 @@
         # The one asked for last stands last.
         admission = self._services.pop(ask.service, None) or ProgramAdmission()
         self._services[ask.service] = admission
-        if len(self._services) > MOST_SERVICES:
+        if len(self._services) > MAX_SERVICES:
             del self._services[next(iter(self._services))]
-        return admission.decide(ask, loads.under_way(ask.service), now_s)
+        return admission.decide(ask, loads.reported_programs(ask.service), now_s)
 
-    def take_back(self, told: ReturnRoom) -> None:
+    def cancel(self, told: ReturnRoom) -> None:
         """Take in that an admitted program did not begin."""
         admission = self._services.get(told.service)
         if admission is not None:
-            admission.take_back(told.program, told.tenant)
+            admission.cancel(told.program, told.tenant)
--- a/yarrowwall/capacity/program_rooms.py
+++ b/yarrowwall/capacity/admission_client.py
@@ -6,23 +6,23 @@
 from yarrowwall import decisions
 from yarrowwall.capacity.load_reports import LoadReporter
 from yarrowwall.decisions import DecisionLog
-from yarrowwall.hashing import first_bits
+from yarrowwall.hashing import digest_int63
 from yarrowwall.messages.capacity import AskRoom, ReturnRoom, RoomReply, Scarce
 from yarrowwall.model import Attempt, Service
-from yarrowwall.policy.own_share import BELIEVED_SECONDS, OwnShare
-from yarrowwall.policy.programs_under_way import ProgramsUnderWay
-from yarrowwall.policy.retry_after import after_unknown_room_s, caller_patience_s
-from yarrowwall.policy.room import ServiceRoom
+from yarrowwall.policy.active_programs import ActivePrograms
+from yarrowwall.policy.capacity_forecast import ServiceCapacity
+from yarrowwall.policy.local_admission import MAX_LOADS_AGE_SECONDS, LocalAdmission
+from yarrowwall.policy.retry_after import after_unknown_capacity_s, caller_patience_s
 from yarrowwall.policy.servers import ServerDirectory
-from yarrowwall.policy.service_room import measure
-from yarrowwall.ports.rooms import NewProgram, RoomSource
+from yarrowwall.policy.service_capacity import measure_capacity
+from yarrowwall.ports.admission import AdmissionControl, NewProgram
 from yarrowwall.refusals import unavailable
 
 #: How a refusal for want of room begins.
-NO_ROOM = "no room for"
+NO_CAPACITY = "no room for"
 
 
-class ProgramRooms(RoomSource):
+class AdmissionClient(AdmissionControl):
     """Room for the programs of one gateway.
 
     :param under_way: counts this gateway's programs; the reporter tells of them.
@@ -33,7 +33,7 @@
         self,
         directory: ServerDirectory,
         reporter: LoadReporter,
-        under_way: ProgramsUnderWay,
+        under_way: ActivePrograms,
         log: DecisionLog,
         now: Callable[[], float],
     ) -> None:
@@ -42,9 +42,9 @@
         self._under_way = under_way
         self._log = log
         self._now = now
-        self._own = OwnShare()
+        self._own = LocalAdmission()
 
-    def begin_program(self, new: NewProgram) -> None:
+    def request_admission(self, new: NewProgram) -> None:
         """Ask whether a new program may begin.
 
         A replica is asked only while half of the places are taken, so ordinary load costs nothing.
@@ -52,29 +52,29 @@
         :raises RefusedError: if there is no room for it.
         """
         now_s = self._now()
-        room = measure(self._directory, new.service, now_s)
-        is_known = room.age_s <= BELIEVED_SECONDS
+        room = measure_capacity(self._directory, new.service, now_s)
+        is_known = room.age_s <= MAX_LOADS_AGE_SECONDS
         if is_known and room.is_open:
             return
         ask = self._question(new, room, now_s)
-        reply = self._reporter.ask_room(ask) if is_known else None
+        reply = self._reporter.query_admission(ask) if is_known else None
         if reply is None:
             reply = self._decide_alone(ask, room)
         self._note_decided(new.attempt, ask, reply)
         if not reply.is_admitted:
             begun = "a conversation" if new.is_continued else "a new program"
             ahead = f"{reply.ahead} of {reply.waiting} waiting go before"
-            reason = f"{NO_ROOM} {begun}: {reply.scarce}, {ahead}"
+            reason = f"{NO_CAPACITY} {begun}: {reply.scarce}, {ahead}"
             raise unavailable(reason, reply.retry_after_s)
 
-    def did_not_begin(self, new: NewProgram) -> None:
+    def cancel_admission(self, new: NewProgram) -> None:
         """Give back the room of a program that its tenant's limit refused."""
         attempt = new.attempt
         told = ReturnRoom(new.service.name, attempt.tenant, _program_key(attempt))
-        self._reporter.return_room(told)
+        self._reporter.send_cancellation(told)
 
     @contextmanager
-    def turn(self, attempt: Attempt, service: Service | None) -> Iterator[None]:
+    def track_turn(self, attempt: Attempt, service: Service | None) -> Iterator[None]:
         """Count a turn as under way until the context is left."""
         if service is None or service.engine is None or attempt.program is None:
             yield
@@ -86,7 +86,7 @@
         finally:
             self._under_way.end_turn(program, self._now())
 
-    def _question(self, new: NewProgram, room: ServiceRoom, now_s: float) -> AskRoom:
+    def _question(self, new: NewProgram, room: ServiceCapacity, now_s: float) -> AskRoom:
         attempt = new.attempt
         limit, program = attempt.limit, attempt.program
         finish_at = program.finish_at if program is not None else None
@@ -101,16 +101,16 @@
             _program_key(attempt),
             limit.rate_per_s if limit is not None else 0.0,
             tokens,
-            room.taken,
+            room.requests,
             room.age_s,
-            room.places,
+            room.slots,
             room.memory_tokens,
             finish_at - now_s if finish_at is not None else 0.0,
             caller_patience_s(attempt.deadline - now_s),
             new.is_continued,
         )
 
-    def _decide_alone(self, ask: AskRoom, room: ServiceRoom) -> RoomReply:
+    def _decide_alone(self, ask: AskRoom, room: ServiceCapacity) -> RoomReply:
         own = sum(
             state.running
             for state in self._directory.states.values()
@@ -118,7 +118,7 @@
         )
         reporters = self._reporter.reporters
         is_admitted = self._own.admits(room, own, reporters, self._now(), ask.is_continued)
-        wait_s = after_unknown_room_s(ask.patience_s, ask.program)
+        wait_s = after_unknown_capacity_s(ask.patience_s, ask.program)
         scarce = Scarce.NOTHING if is_admitted else Scarce.PLACES
         return RoomReply(is_admitted, wait_s, scarce, 0.0, 0, 0, "", 0.0)
 
@@ -150,7 +150,7 @@
 def _program_key(attempt: Attempt) -> int:
     """Return a number for an attempt's program, as one of its tenant's."""
     name = attempt.program.program_id if attempt.program is not None else attempt.attempt_id
-    return first_bits(attempt.tenant, name)
+    return digest_int63(attempt.tenant, name)
 
 
 def _new_tokens(attempt: Attempt) -> int:
--- a/yarrowwall/capacity/load_board.py
+++ b/yarrowwall/capacity/load_board.py
@@ -10,17 +10,17 @@
 from typing import NamedTuple
 
 from yarrowwall.messages.capacity import ServiceUnderWay
-from yarrowwall.policy.room import UnderWay
+from yarrowwall.policy.capacity_forecast import ReportedPrograms
 
 #: Seconds after which a gateway that has fallen silent counts for nothing.
-FORGET_SECONDS = 1.0
+REPORT_EXPIRY_SECONDS = 1.0
 #: Least seconds between two reports of a gateway.
-LEAST_INTERVAL_SECONDS = 0.1
+MIN_INTERVAL_SECONDS = 0.1
 #: Seconds of interval for each reporting gateway, which bounds the reports a replica gets:
 #: 200 a second, about a twentieth of a core there.
 INTERVAL_PER_REPORTER_SECONDS = 0.005
 #: Most seconds between two reports of a gateway: less than the time for which they count.
-MOST_INTERVAL_SECONDS = 0.6
+MAX_INTERVAL_SECONDS = 0.6
 
 
 class Report(NamedTuple):
@@ -40,7 +40,7 @@
         self._between: Counter[str] = Counter()
         self._tokens: Counter[str] = Counter()
 
-    def take(
+    def record_report(
         self,
         node_id: str,
         running: Mapping[str, int],
@@ -60,7 +60,7 @@
         for told in services:
             self._between[told.service] += told.between
             self._tokens[told.service] += told.tokens
-        since_s = now_s - FORGET_SECONDS
+        since_s = now_s - REPORT_EXPIRY_SECONDS
         while (oldest := next(iter(self._reports))) and self._reports[oldest].at_s < since_s:
             self._drop(oldest)
 
@@ -78,16 +78,16 @@
             self._between[told.service] -= told.between
             self._tokens[told.service] -= told.tokens
 
-    def under_way(self, service: str) -> UnderWay:
+    def reported_programs(self, service: str) -> ReportedPrograms:
         """Return what all gateways told of their programs at a service."""
-        return UnderWay(self._between[service], self._tokens[service])
+        return ReportedPrograms(self._between[service], self._tokens[service])
 
     @property
     def reporters(self) -> int:
         """Return how many gateways report."""
         return len(self._reports)
 
-    def others(self, node_id: str) -> Counter[str]:
+    def loads_of_others(self, node_id: str) -> Counter[str]:
         """Return the requests under way by server id, without those of one gateway."""
         report = self._reports.get(node_id)
         own = report.running if report is not None else {}
@@ -102,4 +102,4 @@
     def interval_s(self) -> float:
         """Return the seconds after which a gateway should report again."""
         wanted_s = len(self._reports) * INTERVAL_PER_REPORTER_SECONDS
-        return min(max(LEAST_INTERVAL_SECONDS, wanted_s), MOST_INTERVAL_SECONDS)
+        return min(max(MIN_INTERVAL_SECONDS, wanted_s), MAX_INTERVAL_SECONDS)
--- a/yarrowwall/capacity/load_reports.py
+++ b/yarrowwall/capacity/load_reports.py
@@ -14,32 +14,32 @@
 import eventlet
 from eventlet.event import Event
 
-from yarrowwall.capacity.load_board import LEAST_INTERVAL_SECONDS
+from yarrowwall.capacity.load_board import MIN_INTERVAL_SECONDS
 from yarrowwall.messages.capacity import AskRoom, ReturnRoom, RoomReply, ServiceUnderWay
 from yarrowwall.messages.replicated import LoadReply, Member, ReportLoad, TellLoad
-from yarrowwall.policy.programs_under_way import ProgramsUnderWay
+from yarrowwall.policy.active_programs import ActivePrograms
 from yarrowwall.policy.servers import ServerDirectory
-from yarrowwall.ports.loads import LoadQuestion, LoadSource, NothingAsked
+from yarrowwall.ports.loads import LoadSource, NoPendingLoads, PendingLoads
 from yarrowwall.replication.exceptions import LinkDownError
 from yarrowwall.replication.group_views import GroupViews
 from yarrowwall.replication.rpc import LinkTable
 
 #: Seconds that a replica may take to answer a report.
-ANSWER_SECONDS = 0.15
+REPORT_TIMEOUT_SECONDS = 0.15
 #: Seconds that a new program waits to be told whether there is room for it; after that its gateway
 #: decides alone. Answers take a way to and fro, 5 ms where machines are not slow.
-ROOM_SECONDS = 0.06
+ADMISSION_TIMEOUT_SECONDS = 0.06
 #: Seconds that a turn waits for the answer beyond its reservation, which takes as many ways
 #: to and fro. Old sums are not worth more.
-FRESH_SECONDS = 0.02
+LOADS_TIMEOUT_SECONDS = 0.02
 #: Seconds for which a replica that did not answer is passed over.
-PASS_OVER_SECONDS = 5.0
+REPLICA_SUSPENSION_SECONDS = 5.0
 #: Seconds between looks for something to report while nothing is under way. Each is a
 #: wake-up of a process that has nothing else to do.
-IDLE_SECONDS = 0.2
+IDLE_POLL_SECONDS = 0.2
 
 
-class _Exchange(LoadQuestion):
+class _Exchange(PendingLoads):
     """A report whose answer is under way.
 
     :param take: called with the answer.
@@ -58,7 +58,7 @@
 
     def wait(self) -> None:
         """Wait for the answer, no longer than it is worth."""
-        self._arrived.wait(FRESH_SECONDS)
+        self._arrived.wait(LOADS_TIMEOUT_SECONDS)
 
 
 class LoadReporter(LoadSource):
@@ -76,7 +76,7 @@
         views: GroupViews,
         links: LinkTable,
         now: Callable[[], float],
-        programs: ProgramsUnderWay,
+        programs: ActivePrograms,
     ) -> None:
         self.reporters = 0
         self._programs = programs
@@ -94,9 +94,9 @@
 
     def _run(self) -> None:
         while True:
-            running = self._directory.running()
+            running = self._directory.running_by_incarnation()
             if not running and not self._has_reported:
-                eventlet.sleep(IDLE_SECONDS)
+                eventlet.sleep(IDLE_POLL_SECONDS)
                 continue
             self._has_reported = bool(running)
             eventlet.sleep(self.exchange(running))
@@ -108,36 +108,38 @@
         """
         member = self._board()
         if member is None:
-            return LEAST_INTERVAL_SECONDS
+            return MIN_INTERVAL_SECONDS
         report = self._report(running)
         try:
-            reply = self._links.get(member.address).call(report, ANSWER_SECONDS)
+            reply = self._links.get(member.address).call(report, REPORT_TIMEOUT_SECONDS)
         except LinkDownError:
-            self._passed_over_until[member.disk_id] = self._now() + PASS_OVER_SECONDS
-            return LEAST_INTERVAL_SECONDS
+            self._passed_over_until[member.disk_id] = self._now() + REPLICA_SUSPENSION_SECONDS
+            return MIN_INTERVAL_SECONDS
         if not isinstance(reply, LoadReply):
-            return LEAST_INTERVAL_SECONDS
+            return MIN_INTERVAL_SECONDS
         self._take(reply)
         return reply.interval_s
 
-    def ask(self) -> LoadQuestion:
+    def request_loads(self) -> PendingLoads:
         """Begin to ask what all others have under way; the directory takes the answer in."""
         member = self._board()
         if member is None:
-            return NothingAsked()
+            return NoPendingLoads()
         exchange = _Exchange(self._take)
         link = self._links.get(member.address)
-        number = link.post(self._report(self._directory.running()), exchange.complete)
+        number = link.post(
+            self._report(self._directory.running_by_incarnation()), exchange.complete
+        )
         # A late answer is still news; one that never comes must not be kept for ever.
-        eventlet.spawn_after(ANSWER_SECONDS, link.forget, number, is_late=True)
+        eventlet.spawn_after(REPORT_TIMEOUT_SECONDS, link.forget, number, is_late=True)
         return exchange
 
-    def tell(self) -> None:
+    def report_loads(self) -> None:
         """Tell what this gateway has under way now."""
         member = self._board()
         if member is None:
             return
-        running = self._directory.running()
+        running = self._directory.running_by_incarnation()
         services = self._services()
         message = TellLoad(self._node_id, list(running), list(running.values()), services)
         self._links.get(member.address).tell(message)
@@ -149,18 +151,18 @@
     def _services(self) -> list[ServiceUnderWay]:
         return [ServiceUnderWay(*own) for own in self._programs.by_service(self._now())]
 
-    def ask_room(self, question: AskRoom) -> RoomReply | None:
+    def query_admission(self, question: AskRoom) -> RoomReply | None:
         """Return whether a new program may begin; None if no replica says so in time."""
         member = self._board()
         if member is None:
             return None
         try:
-            reply = self._links.get(member.address).call(question, ROOM_SECONDS)
+            reply = self._links.get(member.address).call(question, ADMISSION_TIMEOUT_SECONDS)
         except LinkDownError:
             return None
         return reply if isinstance(reply, RoomReply) else None
 
-    def return_room(self, told: ReturnRoom) -> None:
+    def send_cancellation(self, told: ReturnRoom) -> None:
         """Tell that a program which was admitted did not begin."""
         member = self._board()
         if member is not None:
@@ -169,7 +171,7 @@
     def _take(self, reply: LoadReply) -> None:
         self.reporters = reply.reporters
         elsewhere = dict(zip(reply.servers, reply.running, strict=True))
-        self._directory.take_loads(elsewhere, self._now())
+        self._directory.update_loads(elsewhere, self._now())
 
     def _board(self) -> Member | None:
         """Return the replica that takes the reports of all gateways."""
--- a/yarrowwall/cli/conversations.py
+++ b/yarrowwall/cli/conversations.py
@@ -10,7 +10,7 @@
 
 import click
 
-from yarrowwall.capacity.program_rooms import NO_ROOM
+from yarrowwall.capacity.admission_client import NO_CAPACITY
 from yarrowwall.cli.explain import read_lines
 
 
@@ -86,7 +86,7 @@
             return Refused.UNKNOWN
         if not self.is_read:
             return Refused.UNREADABLE
-        return Refused.ROOM if self.reason.startswith(NO_ROOM) else Refused.OTHER
+        return Refused.ROOM if self.reason.startswith(NO_CAPACITY) else Refused.OTHER
 
 
 def unserved_programs(lines: Iterable[dict[str, Any]]) -> list[UnservedProgram]:
--- a/yarrowwall/cli/failures.py
+++ b/yarrowwall/cli/failures.py
@@ -10,7 +10,7 @@
 
 import click
 
-from yarrowwall.capacity.program_rooms import NO_ROOM
+from yarrowwall.capacity.admission_client import NO_CAPACITY
 from yarrowwall.cli.explain import read_lines
 from yarrowwall.gateway.endings import EndReason
 from yarrowwall.policy.freshness import TOO_OLD
@@ -178,7 +178,7 @@
 def _cause_of_unavailable(reason: str) -> Cause:
     if reason.startswith(TOO_OLD):
         return Cause.AGE
-    return Cause.ROOM if reason.startswith(NO_ROOM) else Cause.REFUSED
+    return Cause.ROOM if reason.startswith(NO_CAPACITY) else Cause.REFUSED
 
 
 def failed_programs(attempts: list[Attempt]) -> list[FailedProgram]:
--- a/yarrowwall/dispatch/sender.py
+++ b/yarrowwall/dispatch/sender.py
@@ -26,7 +26,7 @@
     Send,
     Server,
 )
-from yarrowwall.policy.memory_budget import MemoryHold
+from yarrowwall.policy.memory_budget import RequestMemory
 from yarrowwall.policy.request_time import RequestTime
 from yarrowwall.policy.sending import SendRules
 from yarrowwall.policy.server_choice import Choice, PlacementRequest
@@ -57,7 +57,7 @@
     time: RequestTime
     body: bytes
     allowance: Allowance
-    hold: MemoryHold
+    hold: RequestMemory
     last_server: str = ""
 
 
@@ -94,7 +94,7 @@
             parts.latencies,
             parts.retries,
         )
-        self.log = self.rules.log
+        self.log = self.rules.history
         self.current: OpenAnswer | None = None
 
     @property
@@ -110,7 +110,7 @@
 
     def refused(self, reason: str) -> RefusedError:
         """Return the end of an attempt that no server answered."""
-        return RefusedError(self.rules.final_answer(reason, self._parts.now()))
+        return RefusedError(self.rules.final_refusal(reason, self._parts.now()))
 
     # Memory
 
@@ -147,7 +147,7 @@
             except RelayError as error:
                 reason = str(error)
                 self.note_failure(choice.server, error)
-                if self.rules.is_settled:
+                if self.rules.is_failure_final:
                     break
                 continue
             if not opened.answer.was_not_run:
@@ -189,7 +189,7 @@
         self._note_sent(choice, send)
         sent_at = self._parts.now()
         if self.log.sent == 1:
-            self._parts.retries.earn(self._sending.service)
+            self._parts.retries.deposit(self._sending.service)
         self._take_place(server)
         try:
             answer = self._exchange(connection, send)
@@ -235,9 +235,9 @@
         started_at = self._parts.now()
         while True:
             try:
-                head = connection.read_head(self.rules.look_again_s(self._parts.now()))
+                head = connection.read_head(self.rules.next_check_s(self._parts.now()))
             except AnswerTimeoutError:
-                if not self.rules.is_worth_waiting(incarnation, started_at, self._parts.now()):
+                if not self.rules.should_keep_waiting(incarnation, started_at, self._parts.now()):
                     raise
                 continue
             self._parts.directory.note_heard(incarnation, self._parts.now())
@@ -311,7 +311,7 @@
     # The place at the server
 
     def _take_place(self, server: Server) -> None:
-        self._place = self._parts.directory.started(server.incarnation)
+        self._place = self._parts.directory.note_started(server.incarnation)
         self._tell_loads()
 
     def _leave_place(self) -> None:
@@ -323,4 +323,4 @@
     def _tell_loads(self) -> None:
         """Let other gateways know at once of a turn, which holds a place for long."""
         if self._sending.route.kind is RequestKind.STREAM:
-            self._parts.loads.tell()
+            self._parts.loads.report_loads()
--- a/yarrowwall/dispatch/streams.py
+++ b/yarrowwall/dispatch/streams.py
@@ -52,7 +52,7 @@
         if opened.answer.status == HTTPStatus.OK:
             state = self._parts.directory.state_of(opened.send.server.incarnation)
             if state is not None:
-                state.belief.note_sent(self._attempt.prompt)
+                state.prefix_cache.note_sent(self._attempt.prompt)
 
     def events(self) -> Iterator[list[Event]]:
         """Return the events in the groups in which they arrive.
@@ -97,9 +97,11 @@
         rules, incarnation = self._sender.rules, opened.send.server.incarnation
         while True:
             try:
-                data = opened.connection.read_some(rules.look_again_s(self._parts.now()))
+                data = opened.connection.read_some(rules.next_check_s(self._parts.now()))
             except AnswerTimeoutError:
-                if not rules.is_worth_waiting(incarnation, self._last_event_at, self._parts.now()):
+                if not rules.should_keep_waiting(
+                    incarnation, self._last_event_at, self._parts.now()
+                ):
                     raise
                 continue
             self._parts.directory.note_heard(incarnation, self._parts.now())
@@ -111,7 +113,7 @@
         opened = self._sender.current
         if self.passed and opened is not None:
             gap = (now - self._last_event_at) / len(events)
-            self._parts.directory.note_pace(opened.send.server.incarnation, gap, now)
+            self._parts.directory.note_service_time(opened.send.server.incarnation, gap, now)
         self._last_event_at = now
         self._last_event_id = events[-1].event_id or self._last_event_id
         # A turn of a stateful route is stored whole; of others only the count is needed.
--- a/yarrowwall/dispatch/whole.py
+++ b/yarrowwall/dispatch/whole.py
@@ -30,7 +30,7 @@
             raise
         sender.release()
         now = parts.now()
-        parts.directory.note_pace(opened.send.server.incarnation, now - opened.sent_at, now)
+        parts.directory.note_service_time(opened.send.server.incarnation, now - opened.sent_at, now)
         if route.is_repeatable:
             parts.latencies.note(route.name, now - opened.sent_at)
         return opened.answer, body
--- a/yarrowwall/gateway/admission.py
+++ b/yarrowwall/gateway/admission.py
@@ -76,8 +76,8 @@
     def _too_old(self, attempt: Attempt) -> RefusedError:
         now = self._now()
         reason = f"{TOO_OLD} {self._freshness.age_s(now):.2f} s ago"
-        unserved_s = self._freshness.unserved_s(now)
-        return unavailable(reason, after_outage_s(unserved_s, attempt.attempt_id))
+        expired_for_s = self._freshness.expired_for_s(now)
+        return unavailable(reason, after_outage_s(expired_for_s, attempt.attempt_id))
 
 
 def _unknown_key(api_key: str | None) -> str:
--- a/yarrowwall/gateway/bodies.py
+++ b/yarrowwall/gateway/bodies.py
@@ -6,7 +6,7 @@
 import eventlet
 
 from yarrowwall.exceptions import CallerGoneError, InvalidAttemptError
-from yarrowwall.policy.memory_budget import MemoryBudget, MemoryExhaustedError, MemoryHold
+from yarrowwall.policy.memory_budget import MemoryBudget, MemoryExhaustedError, RequestMemory
 
 #: Bytes of a body that are read at once.
 _PIECE_BYTES = 8 * 1024
@@ -32,7 +32,7 @@
     """
 
     def __init__(
-        self, environ: dict[str, Any], memory: MemoryBudget, hold: MemoryHold, limit: int
+        self, environ: dict[str, Any], memory: MemoryBudget, hold: RequestMemory, limit: int
     ) -> None:
         self._source = environ["wsgi.input"]
         length = environ.get("CONTENT_LENGTH")
@@ -54,7 +54,7 @@
         announced = self._announced or 0
         if announced > self._limit:
             raise BodyTooLargeError(self._limit)
-        if not self._memory.may_begin(announced):
+        if not self._memory.accepts_request(announced):
             raise MemoryExhaustedError("too much is held for other requests")
         if not announced and not self._is_chunked:
             # Nothing is to come, so nothing is waited for: a time-out takes 0.004 ms.
--- a/yarrowwall/gateway/exchange.py
+++ b/yarrowwall/gateway/exchange.py
@@ -35,7 +35,7 @@
         self._log = gateway.parts.dispatch.decisions
         self._now = gateway.parts.dispatch.now
         self._environ = environ
-        self._hold = gateway.parts.dispatch.memory.open()
+        self._hold = gateway.parts.dispatch.memory.open_request()
         self._response = Response(
             gateway.parts, environ, start_response, lambda: gateway.sends_callers_away
         )
@@ -183,7 +183,7 @@
 
     def _stream(self, attempt: Attempt, route: Route, time: RequestTime) -> Iterator[bytes]:
         turn = Turn(self._gateway, attempt, route, time, self._hold, self._response)
-        loads = self._parts.dispatch.loads.ask()
+        loads = self._parts.dispatch.loads.request_loads()
         allowance = self._parts.quotas.allowance(attempt)
         allowance.begin()
         try:
--- a/yarrowwall/gateway/parts.py
+++ b/yarrowwall/gateway/parts.py
@@ -6,10 +6,10 @@
 from yarrowwall.gateway.http_server import ServerLimits
 from yarrowwall.policy.freshness import Freshness
 from yarrowwall.policy.program_sizes import ProgramSizes
+from yarrowwall.ports.admission import AdmissionControl
 from yarrowwall.ports.platform import CallerProtocol
 from yarrowwall.ports.programs import ProgramLedger
 from yarrowwall.ports.quotas import QuotaSource
-from yarrowwall.ports.rooms import RoomSource
 
 
 @dataclass
@@ -29,7 +29,7 @@
     callers: CallerProtocol
     programs: ProgramLedger
     quotas: QuotaSource
-    rooms: RoomSource
+    rooms: AdmissionControl
     limits: ServerLimits
     freshness: Freshness
     program_sizes: ProgramSizes = field(default_factory=ProgramSizes)
--- a/yarrowwall/gateway/turn.py
+++ b/yarrowwall/gateway/turn.py
@@ -16,13 +16,13 @@
 from yarrowwall.gateway.response import Response
 from yarrowwall.gateway.state import GatewayState
 from yarrowwall.model import Answer, Attempt, Route
-from yarrowwall.policy.memory_budget import MemoryExhaustedError, MemoryHold
+from yarrowwall.policy.memory_budget import MemoryExhaustedError, RequestMemory
 from yarrowwall.policy.request_time import RequestTime
 from yarrowwall.policy.retry_after import SHORTAGE_SECONDS, after_outage_s
-from yarrowwall.ports.loads import LoadQuestion
+from yarrowwall.ports.admission import NewProgram
+from yarrowwall.ports.loads import PendingLoads
 from yarrowwall.ports.programs import TurnGrant
 from yarrowwall.ports.quotas import Allowance
-from yarrowwall.ports.rooms import NewProgram
 from yarrowwall.refusals import Refusal, RefusedError, unavailable
 
 
@@ -43,7 +43,7 @@
         attempt: Attempt,
         route: Route,
         time: RequestTime,
-        hold: MemoryHold,
+        hold: RequestMemory,
         response: Response,
     ) -> None:
         self._gateway = gateway
@@ -76,7 +76,7 @@
             after_s = after_outage_s(programs.unreachable_s, self._attempt.attempt_id)
             raise unavailable(str(error), after_s) from error
 
-    def run(self, grant: TurnGrant, allowance: Allowance, loads: LoadQuestion) -> Iterator[bytes]:
+    def run(self, grant: TurnGrant, allowance: Allowance, loads: PendingLoads) -> Iterator[bytes]:
         """Return the stream.
 
         :param loads: waited for before a server is chosen.
@@ -90,7 +90,7 @@
             loads.wait()
             self._hold_turns_before(grant)
             self._begin_program(grant, allowance)
-            under_way.enter_context(self._parts.rooms.turn(self._attempt, self._service))
+            under_way.enter_context(self._parts.rooms.track_turn(self._attempt, self._service))
             opened = relay.open()
             if opened.answer.status != HTTPStatus.OK:
                 yield self._pass_on_failure(opened.answer, sender)
@@ -157,16 +157,16 @@
     def _ask_for_room(self, grant: TurnGrant, allowance: Allowance) -> None:
         sizes, service = self._parts.program_sizes, self._service
         if service is None or service.engine is None:
-            allowance.begin_program(sizes.expected(self._route.name))
+            allowance.begin_program(sizes.expected_requests(self._route.name))
             return
         # A lender counts each program that it welcomes, so the servers' room goes first.
         turns = sizes.expected_turns(self._route.name)
         new = NewProgram(self._attempt, service, turns, grant.is_continued)
-        self._parts.rooms.begin_program(new)
+        self._parts.rooms.request_admission(new)
         try:
-            allowance.begin_program(sizes.expected(self._route.name))
+            allowance.begin_program(sizes.expected_requests(self._route.name))
         except RefusedError:
-            self._parts.rooms.did_not_begin(new)
+            self._parts.rooms.cancel_admission(new)
             raise
 
     def _pass_on_failure(self, answer: Answer, sender: AttemptSender) -> bytes:
--- a/yarrowwall/hashing.py
+++ b/yarrowwall/hashing.py
@@ -39,12 +39,12 @@
     return xxhash.xxh3_64_intdigest("\x00".join(parts).encode()) / 2.0**64
 
 
-def first_bits(*parts: str) -> int:
+def digest_int63(*parts: str) -> int:
     """Return a number of 63 bits fixed by the parts, which fits a field of a message."""
     return int(digest(*parts)[:16], 16) >> 1
 
 
-def fraction_of(number: int) -> float:
+def fraction_of_digest(number: int) -> float:
     """Return a number in [0, 1) fixed by the low bits of a digest; spreads what it names."""
     return number % _FRACTION_STEPS / _FRACTION_STEPS
 
--- a/yarrowwall/machine/gateway_followers.py
+++ b/yarrowwall/machine/gateway_followers.py
@@ -122,7 +122,7 @@
 
     def _put_in_force(self, configuration: Configuration) -> None:
         if self._gateway.put_in_force(configuration):
-            self._directory.take_services(configuration.services)
+            self._directory.update_services(configuration.services)
 
     # Groups of replicas
 
--- a/yarrowwall/machine/gateway_role.py
+++ b/yarrowwall/machine/gateway_role.py
@@ -9,8 +9,8 @@
 
 from yarrowwall import decisions
 from yarrowwall.budgets.ledger import ReplicatedLedger
+from yarrowwall.capacity.admission_client import AdmissionClient
 from yarrowwall.capacity.load_reports import LoadReporter
-from yarrowwall.capacity.program_rooms import ProgramRooms
 from yarrowwall.decisions import DecisionLog
 from yarrowwall.dispatch.parts import DispatchParts
 from yarrowwall.dispatch.pool import ConnectionPool
@@ -24,9 +24,9 @@
 from yarrowwall.messages.relaying import Neighbour
 from yarrowwall.messages.replicated import GroupView
 from yarrowwall.metrics import MachineMetrics
+from yarrowwall.policy.active_programs import ActivePrograms
 from yarrowwall.policy.freshness import Freshness
 from yarrowwall.policy.memory_budget import MemoryBounds, MemoryBudget
-from yarrowwall.policy.programs_under_way import ProgramsUnderWay
 from yarrowwall.policy.servers import ServerDirectory
 from yarrowwall.ports.platform import Adapter
 from yarrowwall.quotas.borrowing import QuotaBorrower
@@ -80,12 +80,12 @@
         client = QuorumClient(settings.zone, self._views, links, time.monotonic)
         losses = LossChecks(self._views, links, store, log, time.monotonic)
         client.has_lost, client.on_all_gone = losses.has_lost, losses.check
-        programs = ProgramsUnderWay()
+        programs = ActivePrograms()
         self._ledger = ReplicatedLedger(settings.zone, self._views, client, log, time.monotonic)
         self._loads = LoadReporter(
             settings.node_id, self._directory, self._views, links, time.monotonic, programs
         )
-        rooms = ProgramRooms(self._directory, self._loads, programs, log, time.monotonic)
+        rooms = AdmissionClient(self._directory, self._loads, programs, log, time.monotonic)
         self._quotas = QuotaBorrower(settings.zone, self._views, links, log, time.monotonic)
         bounds = settings.bounds
         self._freshness = Freshness(bounds.revocation_s, bounds.configuration_s)
@@ -173,7 +173,7 @@
                 "all": self._memory.held,
                 "peak": self._memory.peak,
                 "bound": self._memory.bounds.total,
-                "server_with_most": self._memory.most_for_a_server,
+                "server_with_most": self._memory.largest_server_bytes,
             }
         )
 
--- a/yarrowwall/machine/replica_requests.py
+++ b/yarrowwall/machine/replica_requests.py
@@ -4,8 +4,8 @@
 from collections.abc import Callable
 from typing import NamedTuple, cast
 
+from yarrowwall.capacity.admission_board import AdmissionBoard
 from yarrowwall.capacity.load_board import LoadBoard
-from yarrowwall.capacity.room_board import RoomBoard
 from yarrowwall.messages.capacity import AskRoom, ReturnRoom
 from yarrowwall.messages.objects import ListObjects, WatchObjects
 from yarrowwall.messages.quotas import ReturnQuota, TakeQuota
@@ -54,7 +54,7 @@
         self._lending = lending
         self._reader = reader
         self._loads = LoadBoard()
-        self._rooms = RoomBoard()
+        self._rooms = AdmissionBoard()
         self._neighbours = NeighbourBoard()
 
     def handle(self, request: object, reply: Reply) -> None:
@@ -67,7 +67,7 @@
             case AskRoom():
                 reply(self._rooms.decide(request, self._loads, time.monotonic()))
             case ReturnRoom():
-                self._rooms.take_back(request)
+                self._rooms.cancel(request)
             case TakeQuota():
                 self._lending.take(request, reply)
             case ReturnQuota():
@@ -112,10 +112,10 @@
 
     def _exchange_loads(self, report: ReportLoad) -> LoadReply:
         self._take_loads(report)
-        others = self._loads.others(report.node_id)
+        others = self._loads.loads_of_others(report.node_id)
         interval_s, reporters = self._loads.interval_s, self._loads.reporters
         return LoadReply(list(others), list(others.values()), interval_s, reporters)
 
     def _take_loads(self, report: ReportLoad | TellLoad) -> None:
         running = dict(zip(report.servers, report.running, strict=True))
-        self._loads.take(report.node_id, running, time.monotonic(), report.services)
+        self._loads.record_report(report.node_id, running, time.monotonic(), report.services)
--- a/yarrowwall/policy/programs_under_way.py
+++ b/yarrowwall/policy/active_programs.py
@@ -4,15 +4,15 @@
 from typing import NamedTuple
 
 #: What is held to be usual between two turns before the first was seen, in seconds: a tool call.
-FIRST_PAUSE_SECONDS = 0.2
+INITIAL_PAUSE_SECONDS = 0.2
 #: Weight of the newest pause in what is usual.
 PAUSE_WEIGHT = 0.05
 #: Times the usual pause for which a program is likely to go on here. Beyond it, it has ended, or
 #: its next turns come through another gateway, which counts it then.
-LIKELY_FACTOR = 2.0
-MOST_LIKELY_SECONDS = 1.0
+CONTINUATION_FACTOR = 2.0
+MAX_CONTINUATION_SECONDS = 1.0
 #: Programs that are remembered; beyond it the one seen longest ago is forgotten.
-MOST_PROGRAMS = 5000
+MAX_PROGRAMS = 5000
 
 
 class _Program:
@@ -55,7 +55,7 @@
         self.tokens = 0
 
 
-class ProgramsUnderWay:
+class ActivePrograms:
     """Counts the programs of one gateway that are likely to go on.
 
     The sums are kept: they are asked for by each start and end of a turn, and adding up the
@@ -69,12 +69,12 @@
         self._likely: OrderedDict[int, _Program] = OrderedDict()
         self._paused: OrderedDict[int, _Program] = OrderedDict()
         self._sums: dict[str, _Sums] = {}
-        self._usual_pause_s = FIRST_PAUSE_SECONDS
+        self._usual_pause_s = INITIAL_PAUSE_SECONDS
 
     @property
     def likely_s(self) -> float:
         """Return for how many seconds after a turn the next one is likely to come."""
-        return min(LIKELY_FACTOR * self._usual_pause_s, MOST_LIKELY_SECONDS)
+        return min(CONTINUATION_FACTOR * self._usual_pause_s, MAX_CONTINUATION_SECONDS)
 
     def begin_turn(self, program: int, service: str, tokens: int, now_s: float) -> None:
         """Take in that a turn begins.
@@ -91,7 +91,7 @@
         known.seen_s = now_s
         self._in_turns[program] = known
         self._count(known, 1)
-        if len(self._in_turns) + len(self._likely) + len(self._paused) > MOST_PROGRAMS:
+        if len(self._in_turns) + len(self._likely) + len(self._paused) > MAX_PROGRAMS:
             self._forget_oldest()
 
     def end_turn(self, program: int, now_s: float) -> None:
@@ -127,7 +127,7 @@
             self._likely.move_to_end(program, last=False)
             self._count(last, 1)
         # One that pauses for longer teaches what is usual only if it is still known.
-        oldest_s = now_s - MOST_LIKELY_SECONDS
+        oldest_s = now_s - MAX_CONTINUATION_SECONDS
         while self._paused and next(iter(self._paused.values())).seen_s < oldest_s:
             self._paused.popitem(last=False)
 
--- a/yarrowwall/policy/budget_parts.py
+++ b/yarrowwall/policy/budget_parts.py
@@ -16,32 +16,32 @@
 #: Least share of what a turn wants, in percent, that is worth a start while a ledger cannot be
 #: asked. Most turns emit no more; one that would is broken off, and without a start all would be
 #: lost for the length of a cut.
-LEAST_SHARE_PERCENT = 20
+MIN_SHARE_PERCENT = 20
 
 #: Begins the key of what a turn that was granted less than its most claims once more.
 _MORE_PREFIX = "budget-more/"
 
 
-class Parts(NamedTuple):
+class BudgetParts(NamedTuple):
     """The division of one budget.
 
     :param common: tokens that the common group may grant.
-    :param of_zone: tokens that each zone's group may grant.
+    :param per_zone: tokens that each zone's group may grant.
     """
 
     common: int
-    of_zone: int
+    per_zone: int
 
 
-def divide(budget: int, zones: int) -> Parts:
+def divide_budget(budget: int, zones: int) -> BudgetParts:
     """Return the parts of a budget; together they make up the budget."""
     if zones == 0:
-        return Parts(budget, 0)
-    of_zone = budget * (100 - COMMON_PERCENT) // (100 * zones)
-    return Parts(budget - zones * of_zone, of_zone)
+        return BudgetParts(budget, 0)
+    per_zone = budget * (100 - COMMON_PERCENT) // (100 * zones)
+    return BudgetParts(budget - zones * per_zone, per_zone)
 
 
-def more_key(key: str, number: int) -> str:
+def further_claim_key(key: str, number: int) -> str:
     """Return the key of a further claim of a turn that was granted less than it wants.
 
     It comes before the keys of all first claims, so turns that are under way go first.
@@ -49,7 +49,7 @@
     return f"{_MORE_PREFIX}{number}/{key}"
 
 
-def turn_of(key: str) -> str:
+def first_claim_key(key: str) -> str:
     """Return the key of a turn's first claim, given that of any."""
     if not key.startswith(_MORE_PREFIX):
         return key
@@ -98,7 +98,7 @@
         return max(0, min(self.asked, self.size - used))
 
 
-def pieces_of(readings: Mapping[int, PartReading], wanted: int) -> dict[int, int]:
+def pieces_to_take(readings: Mapping[int, PartReading], wanted: int) -> dict[int, int]:
     """Return what a turn takes of each group's part, in their order, up to what it wants."""
     found = {}
     left = wanted
@@ -122,7 +122,9 @@
     UNCERTAIN = 4
 
 
-def judge(readings: Mapping[int, PartReading], key: str, wanted: int, unread: int) -> Verdict:
+def decide_grant(
+    readings: Mapping[int, PartReading], key: str, wanted: int, unread: int
+) -> Verdict:
     """Return what becomes of a turn.
 
     Turns that come at once may all claim what only one can have. The first one in order of keys
@@ -133,12 +135,12 @@
     """
     if not readings:
         return Verdict.UNCERTAIN
-    taken = sum(pieces_of(readings, wanted).values())
+    taken = sum(pieces_to_take(readings, wanted).values())
     if taken >= wanted:
         return Verdict.GRANTED
     if is_exhausted(readings, key, wanted, unread):
         return Verdict.EXHAUSTED
-    least = wanted if unread == 0 else max(1, -(-LEAST_SHARE_PERCENT * wanted // 100))
+    least = wanted if unread == 0 else max(1, -(-MIN_SHARE_PERCENT * wanted // 100))
     if taken >= least:
         return Verdict.SHORT
     is_worth_waiting = sum(_free_later(reading, key) for reading in readings.values()) >= least
@@ -150,7 +152,7 @@
     return _left(readings, in_front_of=key) + unread < wanted
 
 
-def is_spent(readings: Mapping[int, PartReading], wanted: int, unread: int) -> bool:
+def is_permanently_exhausted(readings: Mapping[int, PartReading], wanted: int, unread: int) -> bool:
     """Return whether a budget will never hold such a turn again: what is settled stays so."""
     left = unread
     for reading in readings.values():
@@ -170,7 +172,7 @@
     return max(0, min(reading.asked, reading.size - used))
 
 
-def holds_beside_all(readings: Mapping[int, PartReading], wanted: int) -> bool:
+def fits_with_all_claims(readings: Mapping[int, PartReading], wanted: int) -> bool:
     """Return whether a turn fits beside all others, each counted with the most it may get."""
     return _left(readings) >= wanted
 
@@ -190,7 +192,7 @@
     for reading in readings.values():
         left += reading.size
         for key, claim in reading.others.items():
-            turn = turn_of(key)
+            turn = first_claim_key(key)
             if claim.version > ClaimState.RESERVED:
                 sure[turn] += claim.tokens
             elif in_front_of is None or key < in_front_of:
@@ -198,7 +200,7 @@
     return left - sum(max(sure[turn], undecided.get(turn, 0)) for turn in sure.keys() | undecided)
 
 
-def spread(pieces: Mapping[int, int], tokens: int) -> dict[int, int]:
+def allocate_spent(pieces: Mapping[int, int], tokens: int) -> dict[int, int]:
     """Return how much of each piece a turn has spent; the rest is handed back.
 
     What it emitted beyond all pieces counts at the first one: no token goes uncounted.
--- a/yarrowwall/policy/freshness.py
+++ b/yarrowwall/policy/freshness.py
@@ -12,7 +12,7 @@
 MARGIN_SECONDS = 0.2
 #: Part of the bounds after which a gateway asks the store itself: beyond the age that readers
 #: explain, and soon enough for the look and the answer before a version may be overdue.
-OWN_QUESTION_PART = 0.65
+OWN_QUERY_SHARE = 0.65
 #: How the reason of a refusal for age begins; logs are searched for it.
 TOO_OLD = "the configuration was last proved"
 
@@ -40,10 +40,10 @@
         """Return the seconds since the configuration in force was surely the newest."""
         return now_s - self._proved_at_s if self._proved_at_s is not None else float("inf")
 
-    def is_worth_asking(self, now_s: float) -> bool:
+    def should_query_store(self, now_s: float) -> bool:
         """Return whether the age is one at which a gateway had better ask the store itself."""
         bounds_s = [bound for bound in (self._revocation_s, self._denial_s) if bound is not None]
-        return bool(bounds_s) and self.age_s(now_s) >= OWN_QUESTION_PART * min(bounds_s)
+        return bool(bounds_s) and self.age_s(now_s) >= OWN_QUERY_SHARE * min(bounds_s)
 
     def may_serve_keys(self, arrived_at_s: float) -> bool:
         """Return whether a request that arrived at a moment may be served by its key."""
@@ -59,7 +59,7 @@
     def _is_within(self, bound_s: float | None, at_s: float) -> bool:
         return bound_s is None or self.age_s(at_s) <= bound_s - MARGIN_SECONDS
 
-    def unserved_s(self, now_s: float) -> float:
+    def expired_for_s(self, now_s: float) -> float:
         """Return for how many seconds the configuration has been too old for keys."""
         bound_s = self._revocation_s or self._denial_s or 0.0
         return max(self.age_s(now_s) - bound_s + MARGIN_SECONDS, 0.0)
--- a/yarrowwall/policy/incarnations.py
+++ b/yarrowwall/policy/incarnations.py
@@ -6,7 +6,7 @@
 
 #: Servers of which the newest incarnation is remembered after they have gone. A list may be some
 #: seconds old and still tell of one that is over; servers come and go by dozens meanwhile.
-MOST_REMEMBERED = 4096
+MAX_REMEMBERED = 4096
 
 
 class NewestIncarnations:
@@ -22,6 +22,6 @@
             return False
         self._newest[incarnation.server_id] = incarnation
         self._newest.move_to_end(incarnation.server_id)
-        if len(self._newest) > MOST_REMEMBERED:
+        if len(self._newest) > MAX_REMEMBERED:
             self._newest.popitem(last=False)
         return True
--- a/yarrowwall/policy/own_share.py
+++ b/yarrowwall/policy/local_admission.py
@@ -1,17 +1,22 @@
 """What one gateway admits by itself, where no replica decides for all of them. No I/O."""
 
-from yarrowwall.policy.room import AMPLE_PLACES_SHARE, PLACES_SHARE, ServiceRoom, free_places
+from yarrowwall.policy.capacity_forecast import (
+    LARGE_CACHE_SLOTS_SHARE,
+    SLOTS_SHARE,
+    ServiceCapacity,
+    free_slots,
+)
 
 #: Seconds after which the sums of other gateways are no longer believed.
-BELIEVED_SECONDS = 1.0
+MAX_LOADS_AGE_SECONDS = 1.0
 #: Times an even part of the room that a gateway without believable sums may have under way:
 #: clients are spread unevenly, and where some gateways are cut off the others have less.
-BLIND_FACTOR = 4.0
+STALE_LOADS_FACTOR = 4.0
 #: Requests that it may have under way in any case.
-BLIND_LEAST = 2.0
+STALE_LOADS_MIN_REQUESTS = 2.0
 
 
-class OwnShare:
+class LocalAdmission:
     """Bounds what a gateway admits between two times that it is told the sums.
 
     All gateways see the same room and admit at once, so each takes its even part of what is
@@ -23,7 +28,12 @@
         self._admitted = 0
 
     def admits(
-        self, room: ServiceRoom, own: int, reporters: int, now_s: float, is_continued: bool = False
+        self,
+        room: ServiceCapacity,
+        own: int,
+        reporters: int,
+        now_s: float,
+        is_continued: bool = False,
     ) -> bool:
         """Return whether a program may begin, and count it if so.
 
@@ -33,16 +43,16 @@
         """
         if not reporters:
             return True
-        if room.age_s > BELIEVED_SECONDS:
-            even = free_places(room.places, 0.0) / reporters
-            return own < max(BLIND_LEAST, BLIND_FACTOR * even)
+        if room.age_s > MAX_LOADS_AGE_SECONDS:
+            even = free_slots(room.slots, 0.0) / reporters
+            return own < max(STALE_LOADS_MIN_REQUESTS, STALE_LOADS_FACTOR * even)
         if room.is_open:
             return True
         told_at_s = now_s - room.age_s
         if told_at_s > self._told_at_s:
             self._told_at_s, self._admitted = told_at_s, 0
-        share = AMPLE_PLACES_SHARE if is_continued else PLACES_SHARE
-        free = share * room.places - room.taken
+        share = LARGE_CACHE_SLOTS_SHARE if is_continued else SLOTS_SHARE
+        free = share * room.slots - room.requests
         if free < 1.0 or self._admitted + 1 > max(1.0, free / reporters):
             return False
         self._admitted += 1
--- a/yarrowwall/policy/memory_budget.py
+++ b/yarrowwall/policy/memory_budget.py
@@ -13,14 +13,14 @@
 #: Part of a machine's memory that may be held for all requests together. A gateway at rest has
 #: some 30 MB (a quarter of the smallest machines), and each byte of a body exists up to three
 #: times while it is sent: as it came, with the turns before it, and as the request's bytes.
-HELD_SHARE = 0.15
+TOTAL_SHARE = 0.15
 #: Parts of that for one caller and for one server: four of either can't hold up all others.
 CALLER_SHARE = 0.25
 SERVER_SHARE = 0.25
 #: Parts of the bound for all from which new requests are refused, and down to which they are
 #: refused then. Between the high mark and the bound those that run can end.
-HIGH_SHARE = 0.8
-LOW_SHARE = 0.6
+HIGH_WATERMARK = 0.8
+LOW_WATERMARK = 0.6
 #: Machine's memory where the settings do not tell it.
 DEFAULT_MEMORY_MB = 256.0
 _MEGABYTE = 1024 * 1024
@@ -40,7 +40,7 @@
     @classmethod
     def of_machine(cls, memory_mb: float) -> "MemoryBounds":
         """Return the bounds on a machine with so much memory."""
-        total = HELD_SHARE * memory_mb * _MEGABYTE
+        total = TOTAL_SHARE * memory_mb * _MEGABYTE
         return cls(int(total), int(CALLER_SHARE * total), int(SERVER_SHARE * total))
 
 
@@ -59,31 +59,31 @@
         self._is_near = False
 
     @property
-    def is_near(self) -> bool:
+    def is_nearly_full(self) -> bool:
         """Return whether the bound is so near that no new request is taken."""
-        if self.held >= HIGH_SHARE * self.bounds.total:
+        if self.held >= HIGH_WATERMARK * self.bounds.total:
             self._is_near = True
-        elif self.held < LOW_SHARE * self.bounds.total:
+        elif self.held < LOW_WATERMARK * self.bounds.total:
             self._is_near = False
         return self._is_near
 
-    def may_begin(self, announced: int) -> bool:
+    def accepts_request(self, announced: int) -> bool:
         """Return whether a request whose body has so many bytes is taken."""
         fits = announced <= self.bounds.caller and self.held + announced <= self.bounds.total
-        return fits and not self.is_near
+        return fits and not self.is_nearly_full
 
-    def held_for(self, server: str) -> int:
+    def held_for_server(self, server: str) -> int:
         """Return the bytes held for one server."""
         return self._by_server.get(server, 0)
 
     @property
-    def most_for_a_server(self) -> int:
+    def largest_server_bytes(self) -> int:
         """Return the bytes held for the server that has most."""
         return max(self._by_server.values(), default=0)
 
-    def open(self) -> "MemoryHold":
+    def open_request(self) -> "RequestMemory":
         """Return what is held for one request, nothing yet."""
-        return MemoryHold(self)
+        return RequestMemory(self)
 
     def _grow(self, size: int, server: str) -> None:
         self.held += size
@@ -107,7 +107,7 @@
         held.pop(server, None)
 
 
-class MemoryHold:
+class RequestMemory:
     """The bytes held for one request of a caller."""
 
     def __init__(self, budget: MemoryBudget) -> None:
@@ -125,7 +125,7 @@
         budget = self._budget
         if self.size + size > budget.bounds.caller:
             raise MemoryExhaustedError("too much is held for one caller")
-        if server and budget.held_for(server) + size > budget.bounds.server:
+        if server and budget.held_for_server(server) + size > budget.bounds.server:
             raise MemoryExhaustedError("too much is held for one server")
         if budget.held + size > budget.bounds.total:
             raise MemoryExhaustedError("too much is held for all callers")
--- a/yarrowwall/policy/prefixes.py
+++ b/yarrowwall/policy/prefix_cache.py
@@ -14,12 +14,12 @@
 CACHE_SHARE = 0.7
 #: Part of what is believed to be kept that shared parts may take if every server is to
 #: keep all of them.
-SHARED_SHARE = 0.4
+SHARED_PREFIX_SHARE = 0.4
 #: Shared parts that are remembered; beyond it the one unseen longest is forgotten.
-MOST_SHARED_PARTS = 1000
+MAX_SHARED_PREFIXES = 1000
 
 
-class PrefixBelief:
+class PrefixCacheEstimate:
     """The parts that one server is believed to keep.
 
     :param capacity: tokens of memory.
@@ -68,7 +68,7 @@
             self._tokens -= tokens
 
 
-class SharedParts:
+class SharedPrefixes:
     """The first parts of all prompts, which many programs share."""
 
     def __init__(self) -> None:
@@ -79,10 +79,10 @@
         """Take in the first part of a prompt."""
         self._tokens += part.tokens - self._parts.pop(part.part_id, 0)
         self._parts[part.part_id] = part.tokens
-        if len(self._parts) > MOST_SHARED_PARTS:
+        if len(self._parts) > MAX_SHARED_PREFIXES:
             _, tokens = self._parts.popitem(last=False)
             self._tokens -= tokens
 
     def fit_into(self, capacity: int) -> bool:
         """Return whether a server of a capacity in tokens can keep all of them."""
-        return self._tokens <= SHARED_SHARE * capacity
+        return self._tokens <= SHARED_PREFIX_SHARE * capacity
--- a/yarrowwall/policy/program_sizes.py
+++ b/yarrowwall/policy/program_sizes.py
@@ -4,8 +4,8 @@
 
 #: What is held to be usual before the first program, and for how many programs that counts.
 #: A program of a few turns with a lookup or two behind each makes some eight requests.
-FIRST_SIZE = 8.0
-FIRST_PROGRAMS = 3.0
+INITIAL_SIZE = 8.0
+INITIAL_PROGRAMS = 3.0
 #: Programs of a route after which the oldest have lost half of their weight: a minute or two of
 #: traffic at a gateway where one begins each second.
 HALF_LIFE_PROGRAMS = 100.0
@@ -17,8 +17,8 @@
     """Programs that began with a route, and its turns."""
 
     def __init__(self) -> None:
-        self.programs = FIRST_PROGRAMS
-        self.turns = FIRST_PROGRAMS * FIRST_SIZE / 2.0
+        self.programs = INITIAL_PROGRAMS
+        self.turns = INITIAL_PROGRAMS * INITIAL_SIZE / 2.0
 
 
 class ProgramSizes:
@@ -29,7 +29,7 @@
 
     def __init__(self) -> None:
         self._routes: dict[str, _RouteCounts] = defaultdict(_RouteCounts)
-        self._turns = FIRST_PROGRAMS * FIRST_SIZE / 2.0
+        self._turns = INITIAL_PROGRAMS * INITIAL_SIZE / 2.0
         self._lookups = self._turns
 
     def note_turn(self, route: str, begins_program: bool) -> None:
@@ -47,7 +47,7 @@
         """Take in a lookup of any program."""
         self._lookups += 1.0
 
-    def expected(self, route: str) -> float:
+    def expected_requests(self, route: str) -> float:
         """Return the requests that a program beginning on a route is expected to make."""
         counts = self._routes[route]
         return counts.turns / counts.programs * (1.0 + self._lookups / self._turns)
--- a/yarrowwall/policy/returns.py
+++ b/yarrowwall/policy/retry_queue.py
@@ -1,10 +1,10 @@
-"""The programs that were refused and may come back, and the order in which they do. No I/O.
+"""The order in which refused programs are admitted when they retry. No I/O.
 
-Programs that go on from an answered turn go before new ones, in the order in which they were
-refused first. Among new ones whoever was refused first goes first, among those that can still be in
-time. A program that cannot goes behind them, for it would make one more late, but not for ever: see
-:data:`yarrowwall.policy.program_admission.LATE_EVERY`. Tenants with more than their share go behind
-the others.
+Programs that continue from an answered turn come before new ones, ordered by their first refusal.
+New programs that can still finish in time come before those that cannot: admitting a late one first
+would make another one late. Late programs are not starved, see
+:data:`yarrowwall.policy.program_admission.ON_TIME_PER_LATE`. Programs of tenants that exceed their
+share come after those of other tenants.
 """
 
 from collections import Counter
@@ -16,17 +16,17 @@
 #: Programs that are remembered. Beyond it whoever is refused is told when to come back and comes
 #: as a new one. Each decision goes through all of them; it holds those that two hundred places
 #: free in some seconds.
-MOST_WAITING = 500
+MAX_WAITING = 500
 #: Part of the time that a program had when it first came, below which it can no longer be in time.
 #: Programs are wanted within about twice their time on idle servers; at the most that servers
 #: are filled to, they take up to 1.3 times that.
-IN_TIME_SHARE = 0.6
+ON_TIME_SHARE = 0.6
 #: Seconds after which a program goes behind in any case. Long programs have time for more, and
 #: would pass all short ones by. It is about the longest that a caller waits at once.
-MOST_AHEAD_SECONDS = 1.5
+MAX_ON_TIME_SECONDS = 1.5
 
 
-class Standing(NamedTuple):
+class QueuePosition(NamedTuple):
     """A program's place in the order; the least goes first.
 
     :param is_new: whether it goes on from no answered turn.
@@ -54,7 +54,7 @@
     due_s: float
 
 
-class Ahead(NamedTuple):
+class ProgramsAhead(NamedTuple):
     """The programs that go before one.
 
     :param due: those of them that should be back by now, or are any moment.
@@ -69,7 +69,7 @@
     is_late_due: bool
 
 
-class ReturnOrder:
+class RetryQueue:
     """The programs that were refused, until they are admitted or given up."""
 
     def __init__(self) -> None:
@@ -100,12 +100,12 @@
         if not self.by_tenant[known.tenant]:
             del self.by_tenant[known.tenant]
 
-    def standing(self, program: int, is_new: bool, is_over: bool, now_s: float) -> Standing:
+    def standing(self, program: int, is_new: bool, is_over: bool, now_s: float) -> QueuePosition:
         """Return the place of a program, which may not have been refused before."""
         known = self._waiting.get(program)
         if known is None:
-            return Standing(is_new, is_over, False, self._next_number)
-        return Standing(is_new, is_over, now_s >= known.late_from_s, known.number)
+            return QueuePosition(is_new, is_over, False, self._next_number)
+        return QueuePosition(is_new, is_over, now_s >= known.late_from_s, known.number)
 
     def late_from_s(self, program: int, is_new: bool, finish_in_s: float, now_s: float) -> float:
         """Return when a program is held to be late.
@@ -117,11 +117,11 @@
             return known.late_from_s
         if finish_in_s <= 0.0 or not is_new:
             return float("inf")
-        return now_s + min((1.0 - IN_TIME_SHARE) * finish_in_s, MOST_AHEAD_SECONDS)
+        return now_s + min((1.0 - ON_TIME_SHARE) * finish_in_s, MAX_ON_TIME_SECONDS)
 
     def ahead(
-        self, program: int, standing: Standing, over: set[str], due_by_s: float, now_s: float
-    ) -> Ahead:
+        self, program: int, standing: QueuePosition, over: set[str], due_by_s: float, now_s: float
+    ) -> ProgramsAhead:
         """Return the programs that go before one.
 
         This is gone through for each question, so it makes no values of its own on the way.
@@ -149,7 +149,7 @@
                 count += 1
                 due += is_due
                 due_continued += is_due and not known.is_new
-        return Ahead(count, due, due_continued, is_late_due)
+        return ProgramsAhead(count, due, due_continued, is_late_due)
 
     def note_refused(
         self, program: int, tenant: str, is_new: bool, late_from_s: float, due_s: float
@@ -159,7 +159,7 @@
         if known is not None:
             self._waiting[program] = known._replace(due_s=due_s)
             return
-        if len(self._waiting) >= MOST_WAITING:
+        if len(self._waiting) >= MAX_WAITING:
             return
         self._waiting[program] = _Waiting(tenant, is_new, self._next_number, late_from_s, due_s)
         self._next_number += 1
--- a/yarrowwall/policy/usual_program.py
+++ b/yarrowwall/policy/running_averages.py
@@ -10,16 +10,16 @@
 #: Least weight of the newest program in what is usual of programs.
 PROGRAM_WEIGHT = 0.02
 #: Times the usual size that a program counts for at most, so that a single one changes little.
-MOST_SIZE_FACTOR = 4.0
+MAX_SIZE_FACTOR = 4.0
 #: What is held to be the usual time that programs have, before the first.
-FIRST_FINISH_SECONDS = 4.0
+INITIAL_FINISH_SECONDS = 4.0
 #: Weight of the newest question in what gateways believe of the servers.
-BELIEF_WEIGHT = 0.1
+CAPACITY_WEIGHT = 0.1
 #: Seconds after which what gateways believed before counts no more.
-BELIEF_SECONDS = 1.0
+CAPACITY_EXPIRY_SECONDS = 1.0
 
 
-class UsualProgram:
+class TypicalProgram:
     """What is usual among programs.
 
     :ivar finish_in_s: seconds that they have when they ask.
@@ -28,7 +28,7 @@
     """
 
     def __init__(self) -> None:
-        self.finish_in_s = FIRST_FINISH_SECONDS
+        self.finish_in_s = INITIAL_FINISH_SECONDS
         self.tokens = 0.0
         self._admitted = 0
 
@@ -41,25 +41,25 @@
         """Take in what an admitted program is expected to keep."""
         self._admitted += 1
         weight = max(1.0 / self._admitted, PROGRAM_WEIGHT)
-        size = min(float(tokens), MOST_SIZE_FACTOR * self.tokens) if self.tokens else float(tokens)
+        size = min(float(tokens), MAX_SIZE_FACTOR * self.tokens) if self.tokens else float(tokens)
         self.tokens += weight * (size - self.tokens)
 
 
-class BelievedServers:
+class AverageCapacity:
     """The servers of a service, as the gateways that asked lately believe on average.
 
-    :ivar places: that sound ones offer.
+    :ivar slots: that sound ones offer.
     :ivar memory_tokens: that their engines hold.
     """
 
     def __init__(self) -> None:
-        self.places = 0.0
+        self.slots = 0.0
         self.memory_tokens = 0.0
         self._asked_at_s = float("-inf")
 
     def note_asked(self, ask: AskRoom, now_s: float) -> None:
         """Take in what the gateway that asks believes."""
-        weight = BELIEF_WEIGHT if now_s - self._asked_at_s <= BELIEF_SECONDS else 1.0
+        weight = CAPACITY_WEIGHT if now_s - self._asked_at_s <= CAPACITY_EXPIRY_SECONDS else 1.0
         self._asked_at_s = now_s
-        self.places += weight * (ask.places - self.places)
+        self.slots += weight * (ask.places - self.slots)
         self.memory_tokens += weight * (ask.memory_tokens - self.memory_tokens)
--- a/yarrowwall/policy/sending.py
+++ b/yarrowwall/policy/sending.py
@@ -15,20 +15,20 @@
 from yarrowwall.refusals import Refusal
 
 #: Seconds left below which a request is not sent to another server: less than the shortest answer.
-LEAST_LEFT_SECONDS = 0.02
+MIN_LEFT_SECONDS = 0.02
 #: Servers that may turn an attempt away unreached before it is refused.
-MOST_UNREACHED = 3
+MAX_UNREACHED = 3
 #: As long as too few answers of a route were seen, and for streams: seconds of silence of a
 #: server, on all connections, after which a request that may be repeated goes on elsewhere.
 #: A server that is heard of merely lets the request wait.
 SILENCE_SECONDS = 0.8
 #: Seconds of waiting after which it goes on elsewhere in any case. Giving up a place in a
 #: queue costs more than most waits, so this is long.
-LONGEST_SILENCE_SECONDS = 1.8
+MAX_WAIT_SECONDS = 1.8
 
 
 @dataclass
-class SendLog:
+class SendHistory:
     """What became of an attempt up to now.
 
     :param tried: ids of the servers that were chosen for it.
@@ -48,7 +48,7 @@
 
     :param service: whose servers may take it.
     :param time: how long the attempt may take.
-    :ivar log: what became of it up to now; whoever sends it keeps this.
+    :ivar history: what became of it up to now; whoever sends it keeps this.
     """
 
     def __init__(
@@ -66,7 +66,7 @@
         self._directory = directory
         self._latencies = latencies
         self._retries = retries
-        self.log = SendLog()
+        self.history = SendHistory()
 
     def left_s(self, now: float) -> float:
         """Return the seconds left to the attempt."""
@@ -74,13 +74,15 @@
 
     def may_send(self, now: float) -> bool:
         """Return whether one more server may get the attempt, if it may be sent again at all."""
-        has_tries = self.log.sent < self._route.attempts and self.log.unreached < MOST_UNREACHED
-        return has_tries and self.left_s(now) > LEAST_LEFT_SECONDS
+        has_tries = (
+            self.history.sent < self._route.attempts and self.history.unreached < MAX_UNREACHED
+        )
+        return has_tries and self.left_s(now) > MIN_LEFT_SECONDS
 
     @property
-    def is_settled(self) -> bool:
+    def is_failure_final(self) -> bool:
         """Return whether a failure is final since the attempt may have run, and only once."""
-        return self.log.may_have_run and not self._route.is_repeatable
+        return self.history.may_have_run and not self._route.is_repeatable
 
     def may_repeat(self, now: float) -> bool:
         """Return whether one more server may get the attempt though it may have run before."""
@@ -90,14 +92,14 @@
         """Return whether another server may go on with a stream that broke off."""
         return self._route.is_resumable and self.may_send(now)
 
-    def look_again_s(self, now: float) -> float:
+    def next_check_s(self, now: float) -> float:
         """Return the seconds to wait for a server before another look at it."""
         left_s = self.left_s(now)
         if not self.may_repeat(now):
             return left_s
         return min(left_s, self._late_after_s() or SILENCE_SECONDS)
 
-    def is_worth_waiting(self, incarnation: Incarnation, since: float, now: float) -> bool:
+    def should_keep_waiting(self, incarnation: Incarnation, since: float, now: float) -> bool:
         """Return whether to go on waiting for a server that was silent for a while.
 
         Without another server, giving up an answer that is late would end the request with
@@ -111,25 +113,25 @@
         late_after_s = self._late_after_s()
         if late_after_s is None:
             is_heard = now - self._directory.last_heard(incarnation) < SILENCE_SECONDS
-            is_late = not is_heard or now - since >= LONGEST_SILENCE_SECONDS
+            is_late = not is_heard or now - since >= MAX_WAIT_SECONDS
         else:
             is_late = now - since >= late_after_s
         if not is_late:
             return True
-        if not self._directory.candidates(self._service, self.log.tried, now):
+        if not self._directory.candidates(self._service, self.history.tried, now):
             return has_time
-        return late_after_s is not None and not self._retries.take(self._service)
+        return late_after_s is not None and not self._retries.try_withdraw(self._service)
 
     def _late_after_s(self) -> float | None:
         """Return the seconds after which a whole answer is late; None if not known."""
         if self._route.kind is not RequestKind.IDEMPOTENT:
             return None
-        return self._latencies.limit_s(self._route.name)
+        return self._latencies.late_after_s(self._route.name)
 
-    def final_answer(self, reason: str, now: float) -> Refusal:
+    def final_refusal(self, reason: str, now: float) -> Refusal:
         """Return the final answer of an attempt that no server answered."""
-        if not self.log.may_have_run:
+        if not self.history.may_have_run:
             return Refusal(HTTPStatus.SERVICE_UNAVAILABLE, reason, SHORTAGE_SECONDS)
-        if self.left_s(now) <= LEAST_LEFT_SECONDS:
+        if self.left_s(now) <= MIN_LEFT_SECONDS:
             return Refusal(HTTPStatus.GATEWAY_TIMEOUT, reason)
         return Refusal(HTTPStatus.BAD_GATEWAY, reason)
--- a/yarrowwall/policy/server_choice.py
+++ b/yarrowwall/policy/server_choice.py
@@ -11,13 +11,13 @@
 
 from yarrowwall.hashing import fraction
 from yarrowwall.model import PromptPart, Server
-from yarrowwall.policy.prefixes import SharedParts
+from yarrowwall.policy.prefix_cache import SharedPrefixes
 from yarrowwall.policy.servers import (
     SLOW_FACTOR,
     ServerDirectory,
     ServerState,
-    believed_pace,
-    usual_pace,
+    median_service_time_s,
+    recent_service_time_s,
 )
 
 #: Tokens of prompt that an engine reads in a second. Reading holds up all other requests
@@ -33,7 +33,7 @@
 LOOKUP_LOAD_SECONDS = 0.002
 #: Part of a server's places up to which no request waits, even if the loads that other
 #: gateways told are a little old.
-FREE_SHARE = 0.75
+UNQUEUED_SHARE = 0.75
 #: Seconds that a request is held to keep its place: a stream, and a lookup.
 STREAM_SECONDS = 0.4
 LOOKUP_SECONDS = 0.04
@@ -42,12 +42,12 @@
 #: Seconds of difference that hashing may decide, so that gateways agree without talking:
 #: for lookups, which run faster where their object was seen lately, and for streams, whose
 #: program is read anew where it was not seen.
-LOOKUP_SPREAD_SECONDS = 0.004
-STREAM_SPREAD_SECONDS = 0.03
+LOOKUP_TIEBREAK_SECONDS = 0.004
+STREAM_TIEBREAK_SECONDS = 0.03
 #: Tokens that a server which ran the turn before is held to read at most.
 NEW_TOKENS = 1000
 #: Parts of a prompt of which the first is shared among programs.
-LEAST_SHARED_PARTS = 2
+MIN_SHARED_PARTS = 2
 
 
 class PlacementRequest(NamedTuple):
@@ -84,7 +84,7 @@
 
     def __init__(self, directory: ServerDirectory) -> None:
         self._directory = directory
-        self._shared = SharedParts()
+        self._shared = SharedPrefixes()
 
     def choose(
         self,
@@ -97,7 +97,7 @@
         states = self._directory.candidates(service, tried, now)
         if not states:
             return None
-        usual = usual_pace(states, now)
+        usual = median_service_time_s(states, now)
         # A server that started again holds nothing of the turn before.
         incarnations = {state.incarnation_text: state.server.server_id for state in states}
         request = request._replace(last_server=incarnations.get(request.last_server, ""))
@@ -127,22 +127,22 @@
         share = fraction(request.affinity, state.server.server_id)
         if request.prompt:
             far_s = 0.0 if is_near else OTHER_ZONE_FIRST_SECONDS
-            return far_s + STREAM_SPREAD_SECONDS * share
-        return (0.0 if is_near else OTHER_ZONE_SECONDS) + LOOKUP_SPREAD_SECONDS * share
+            return far_s + STREAM_TIEBREAK_SECONDS * share
+        return (0.0 if is_near else OTHER_ZONE_SECONDS) + LOOKUP_TIEBREAK_SECONDS * share
 
     def _reading(self, states: Sequence[ServerState], request: PlacementRequest) -> dict[str, int]:
         """Return the tokens that each server would have to read of a prompt."""
         prompt = request.prompt
         found = {
-            state.server.server_id: request.tokens - state.belief.cached_tokens(prompt)
+            state.server.server_id: request.tokens - state.prefix_cache.cached_tokens(prompt)
             for state in states
         }
-        if len(prompt) < LEAST_SHARED_PARTS:
+        if len(prompt) < MIN_SHARED_PARTS:
             return found
         shared = prompt[0].tokens
         own = request.tokens - shared
         self._shared.note(prompt[0])
-        if self._shared.fit_into(min(state.belief.capacity for state in states)):
+        if self._shared.fit_into(min(state.prefix_cache.capacity for state in states)):
             # Every server soon holds what all programs share.
             found = {server_id: min(missing, own) for server_id, missing in found.items()}
         if request.last_server:
@@ -158,11 +158,11 @@
         """Return the seconds that a server's load and pace are expected to cost."""
         load = self._directory.load(state, now)
         seconds = load * (STREAM_LOAD_SECONDS if is_stream else LOOKUP_LOAD_SECONDS)
-        ahead = load + 1 - FREE_SHARE * state.server.slots
+        ahead = load + 1 - UNQUEUED_SHARE * state.server.slots
         if ahead > 0:
             held = STREAM_SECONDS if is_stream else LOOKUP_SECONDS
             seconds += ahead * held / state.server.slots
-        pace = believed_pace(state, now)
+        pace = recent_service_time_s(state, now)
         if pace is not None:
             # Paces differ by load and luck; only a server far off the others is slow.
             excess = max(0.0, pace - SLOW_FACTOR * usual)
--- a/yarrowwall/policy/servers.py
+++ b/yarrowwall/policy/servers.py
@@ -7,22 +7,22 @@
 from dataclasses import dataclass, field
 from statistics import median
 
-from yarrowwall.backoff import doubled_s
+from yarrowwall.backoff import exponential_backoff_s
 from yarrowwall.model import Incarnation, Server, Service
 from yarrowwall.policy.incarnations import NewestIncarnations
-from yarrowwall.policy.prefixes import PrefixBelief
+from yarrowwall.policy.prefix_cache import PrefixCacheEstimate
 
 #: Seconds after which what other gateways had under way is no longer believed.
-LOAD_MEMORY_SECONDS = 1.0
+LOAD_EXPIRY_SECONDS = 1.0
 #: Seconds a server is passed over after it failed, doubled up to the most.
 SUSPENSION_SECONDS = 0.5
-MOST_SUSPENSION_SECONDS = 4.0
+MAX_SUSPENSION_SECONDS = 4.0
 #: The same after it said that it is full: about as long as one of its requests takes.
 FULL_SECONDS = 0.1
 #: Weight of the newest observation of a server's pace.
-PACE_WEIGHT = 0.3
+SERVICE_TIME_WEIGHT = 0.3
 #: Seconds after which an observed pace is no longer believed.
-PACE_MEMORY_SECONDS = 4.0
+SERVICE_TIME_EXPIRY_SECONDS = 4.0
 #: Times the usual pace beyond which a server counts as slow.
 SLOW_FACTOR = 2.0
 #: Seconds after a server vanished from the list in which it may serve if no other does.
@@ -35,16 +35,16 @@
 
     :param running: requests of this gateway under way there.
     :param elsewhere: requests of all other gateways, as they told last.
-    :param pace: ratio of its speed to others'; seconds between events or for a lookup.
+    :param service_time_s: ratio of its speed to others'; seconds between events or for a lookup.
     :ivar incarnation: the one that this is known of, and its text, which each choice looks up.
     """
 
     server: Server
-    belief: PrefixBelief
+    prefix_cache: PrefixCacheEstimate
     running: int = 0
-    elsewhere: int = 0
-    pace: float | None = None
-    pace_at: float = 0.0
+    running_elsewhere: int = 0
+    service_time_s: float | None = None
+    service_time_at: float = 0.0
     heard_at: float = 0.0
     failures: int = 0
     suspended_until: float = 0.0
@@ -76,7 +76,7 @@
     on_removed: Callable[[Incarnation, Incarnation | None], None] = lambda incarnation, successor: (
         None
     )
-    _told_at: float = -LOAD_MEMORY_SECONDS
+    _told_at: float = -LOAD_EXPIRY_SECONDS
     _newest: NewestIncarnations = field(default_factory=NewestIncarnations)
 
     def replace_all(
@@ -100,7 +100,7 @@
             self._end_incarnation(state, server.incarnation)
             state = None
         if state is None:
-            state = ServerState(server, PrefixBelief(_cache_tokens(server, services)))
+            state = ServerState(server, PrefixCacheEstimate(_cache_tokens(server, services)))
             self.states[server.server_id] = state
         state.server = server
         state.vanished_at = None
@@ -114,13 +114,13 @@
         del self.states[state.server.server_id]
         self.on_removed(state.incarnation, successor)
 
-    def take_services(self, services: dict[str, Service]) -> None:
+    def update_services(self, services: dict[str, Service]) -> None:
         """Take in what a configuration says of the engines' memory.
 
         Servers may be known before the configuration: both are read at once at a start.
         """
         for state in self.states.values():
-            state.belief.resize(_cache_tokens(state.server, services))
+            state.prefix_cache.resize(_cache_tokens(state.server, services))
 
     def remove(self, incarnation: Incarnation, now: float) -> None:
         """Take in that an entry is gone, or can't be used.
@@ -155,8 +155,8 @@
 
     def load(self, state: ServerState, now: float) -> int:
         """Return the requests under way at a server, of all gateways as far as known."""
-        is_known = now - self._told_at < LOAD_MEMORY_SECONDS
-        return state.running + (state.elsewhere if is_known else 0)
+        is_known = now - self._told_at < LOAD_EXPIRY_SECONDS
+        return state.running + (state.running_elsewhere if is_known else 0)
 
     def loads_age_s(self, now: float) -> float:
         """Return the seconds since other gateways' requests were told."""
@@ -164,17 +164,17 @@
 
     # Observations
 
-    def running(self) -> dict[str, int]:
+    def running_by_incarnation(self) -> dict[str, int]:
         """Return this gateway's requests under way by the text of the server's incarnation."""
         return {
             state.incarnation_text: state.running for state in self.states.values() if state.running
         }
 
-    def take_loads(self, elsewhere: Mapping[str, int], now: float) -> None:
+    def update_loads(self, running_elsewhere: Mapping[str, int], now: float) -> None:
         """Take in what all other gateways have under way, by the incarnation's text."""
         self._told_at = now
         for state in self.states.values():
-            state.elsewhere = elsewhere.get(state.incarnation_text, 0)
+            state.running_elsewhere = running_elsewhere.get(state.incarnation_text, 0)
 
     def state_of(self, incarnation: Incarnation) -> ServerState | None:
         """Return what is known of an incarnation; None once it is over."""
@@ -192,7 +192,7 @@
         state = self.state_of(incarnation)
         return state.heard_at if state is not None else 0.0
 
-    def started(self, incarnation: Incarnation) -> ServerState | None:
+    def note_started(self, incarnation: Incarnation) -> ServerState | None:
         """Note that a request was sent to a server.
 
         :returns: where its end is to be noted, whatever incarnation the server is meanwhile; None
@@ -203,14 +203,16 @@
             state.running += 1
         return state
 
-    def note_pace(self, incarnation: Incarnation, seconds: float, now: float) -> None:
+    def note_service_time(self, incarnation: Incarnation, seconds: float, now: float) -> None:
         """Note how long a server took for one event or one lookup."""
         state = self.state_of(incarnation)
         if state is None:
             return
-        known = believed_pace(state, now)
-        state.pace = seconds if known is None else known + PACE_WEIGHT * (seconds - known)
-        state.pace_at = now
+        known = recent_service_time_s(state, now)
+        state.service_time_s = (
+            seconds if known is None else known + SERVICE_TIME_WEIGHT * (seconds - known)
+        )
+        state.service_time_at = now
         state.failures = 0
 
     def note_failure(self, incarnation: Incarnation, now: float) -> None:
@@ -218,7 +220,7 @@
         state = self.state_of(incarnation)
         if state is None:
             return
-        pause = doubled_s(SUSPENSION_SECONDS, MOST_SUSPENSION_SECONDS, state.failures)
+        pause = exponential_backoff_s(SUSPENSION_SECONDS, MAX_SUSPENSION_SECONDS, state.failures)
         state.failures += 1
         state.suspended_until = now + pause
 
@@ -234,14 +236,16 @@
     return service.engine.cache_tokens if service is not None and service.engine else 0
 
 
-def believed_pace(state: ServerState, now: float) -> float | None:
+def recent_service_time_s(state: ServerState, now: float) -> float | None:
     """Return the observed pace if it is fresh enough to be believed."""
-    return state.pace if now - state.pace_at < PACE_MEMORY_SECONDS else None
+    return (
+        state.service_time_s if now - state.service_time_at < SERVICE_TIME_EXPIRY_SECONDS else None
+    )
 
 
-def usual_pace(states: Iterable[ServerState], now: float) -> float:
+def median_service_time_s(states: Iterable[ServerState], now: float) -> float:
     """Return the median of the paces that are believed; 0 if there is none."""
-    paces = [pace for state in states if (pace := believed_pace(state, now)) is not None]
+    paces = [pace for state in states if (pace := recent_service_time_s(state, now)) is not None]
     return median(paces) if paces else 0.0
 
 
--- a/yarrowwall/policy/tenant_shares.py
+++ b/yarrowwall/policy/tenant_shares.py
@@ -8,7 +8,7 @@
 #: has ended, and a tenant that was hot is no longer held back.
 WINDOW_SECONDS = 2.0
 #: Weight of all tenants if none has an agreed rate.
-PLAIN_WEIGHT = 1.0
+DEFAULT_WEIGHT = 1.0
 
 
 def water_level(
@@ -60,7 +60,7 @@
             _, tenant = self._admissions.popleft()
             self._count_less(tenant)
 
-    def take_back(self, tenant: str) -> None:
+    def remove_admission(self, tenant: str) -> None:
         """Count one program less, which was admitted and did not begin."""
         for index in range(len(self._admissions) - 1, -1, -1):
             if self._admissions[index][1] == tenant:
@@ -92,7 +92,7 @@
     def _usual_weight(self) -> float:
         """Return the weight of tenants without an agreed rate, or not admitted lately."""
         known = self._weights.values()
-        return sum(known) / len(known) if known else PLAIN_WEIGHT
+        return sum(known) / len(known) if known else DEFAULT_WEIGHT
 
     def since(self, after_s: float) -> int:
         """Return how many programs were admitted after a moment of the window."""
--- a/yarrowwall/ports/rooms.py
+++ b/yarrowwall/ports/admission.py
@@ -21,21 +21,21 @@
     is_continued: bool
 
 
-class RoomSource(ABC):
+class AdmissionControl(ABC):
     """Says which new programs may begin, and learns of those under way."""
 
     @abstractmethod
-    def begin_program(self, new: NewProgram) -> None:
+    def request_admission(self, new: NewProgram) -> None:
         """Ask whether a new program may begin.
 
         :raises RefusedError: if there is no room for it.
         """
 
     @abstractmethod
-    def did_not_begin(self, new: NewProgram) -> None:
+    def cancel_admission(self, new: NewProgram) -> None:
         """Note that a program for which there was room was refused for another reason."""
 
     @abstractmethod
     @contextmanager
-    def turn(self, attempt: Attempt, service: Service | None) -> Iterator[None]:
+    def track_turn(self, attempt: Attempt, service: Service | None) -> Iterator[None]:
         """Count a turn as under way until the context is left."""
--- a/yarrowwall/ports/loads.py
+++ b/yarrowwall/ports/loads.py
@@ -3,7 +3,7 @@
 from abc import ABC, abstractmethod
 
 
-class LoadQuestion(ABC):
+class PendingLoads(ABC):
     """A question for the loads of all gateways that is under way."""
 
     @abstractmethod
@@ -15,15 +15,15 @@
     """Tells of this gateway's requests and learns of all others'."""
 
     @abstractmethod
-    def ask(self) -> LoadQuestion:
+    def request_loads(self) -> PendingLoads:
         """Begin to ask what all others have under way; the directory takes the answer in."""
 
     @abstractmethod
-    def tell(self) -> None:
+    def report_loads(self) -> None:
         """Tell what this gateway has under way now."""
 
 
-class NothingAsked(LoadQuestion):
+class NoPendingLoads(PendingLoads):
     """Stands for a question that nobody could be asked."""
 
     def wait(self) -> None:
--- a/yarrowwall/replication/paths.py
+++ b/yarrowwall/replication/paths.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable, Collection, Sequence
 
-from yarrowwall.backoff import doubled_s
+from yarrowwall.backoff import exponential_backoff_s
 from yarrowwall.messages.relaying import Neighbour
 
 #: Seconds without an answer after which a replica counts as out of reach. An answer takes 5 ms
@@ -215,7 +215,7 @@
         """Note that a neighbour did not answer, or is out of reach itself."""
         failures = self._failures.get(node_id, 0)
         self._failures[node_id] = failures + 1
-        pause_s = doubled_s(SILENT_SECONDS, MOST_SILENT_SECONDS, failures)
+        pause_s = exponential_backoff_s(SILENT_SECONDS, MOST_SILENT_SECONDS, failures)
         self._passed_over_until[node_id] = now_s + pause_s
 
     def is_served(self, now_s: float) -> bool:
--- a/yarrowwall/watching/detour.py
+++ b/yarrowwall/watching/detour.py
@@ -6,7 +6,7 @@
 from typing import Protocol
 
 from yarrowwall import decisions
-from yarrowwall.backoff import doubled_s
+from yarrowwall.backoff import exponential_backoff_s
 from yarrowwall.decisions import DecisionLog
 from yarrowwall.messages.objects import ListObjects, ObjectsReply, ObjectsStatus, WatchObjects
 from yarrowwall.messages.replicated import Member
@@ -119,7 +119,9 @@
     def look(self, question: WatchObjects) -> None:
         """Find out whether a reader can be asked this way."""
         # Nobody else looks meanwhile, and an answer takes 0.7 s at most.
-        pause_s = doubled_s(LOOK_AGAIN_SECONDS, MOST_LOOK_AGAIN_SECONDS, self._failed_looks)
+        pause_s = exponential_backoff_s(
+            LOOK_AGAIN_SECONDS, MOST_LOOK_AGAIN_SECONDS, self._failed_looks
+        )
         self._failed_looks += 1
         self._look_again_s = self._now() + pause_s
         self.ask(question)
--- a/yarrowwall/watching/follower.py
+++ b/yarrowwall/watching/follower.py
@@ -6,7 +6,7 @@
 import eventlet
 
 from yarrowwall import decisions
-from yarrowwall.backoff import doubled_s
+from yarrowwall.backoff import exponential_backoff_s
 from yarrowwall.decisions import DecisionLog
 from yarrowwall.hashing import fraction
 from yarrowwall.ports.object_store import (
@@ -133,7 +133,7 @@
                 eventlet.sleep(self._retry_pause_s())
 
     def _list(self) -> int:
-        timeout_s = doubled_s(LIST_SECONDS, MOST_LIST_SECONDS, self._failures)
+        timeout_s = exponential_backoff_s(LIST_SECONDS, MOST_LIST_SECONDS, self._failures)
         listing = self._store.list(self._kind, timeout_s, self._may_be_old)
         self._on_list(listing.items)
         self.has_listed = True
@@ -157,7 +157,7 @@
 
     def _retry_pause_s(self) -> float:
         most_s = self._most_retry_s if self.has_listed else MOST_FIRST_RETRY_SECONDS
-        pause = doubled_s(RETRY_SECONDS, most_s, self._failures - 1)
+        pause = exponential_backoff_s(RETRY_SECONDS, most_s, self._failures - 1)
         spread = 0.75 + 0.5 * fraction(self._kind, str(self._failures))
         return pause * spread
 
--- a/yarrowwall/watching/freshness_probe.py
+++ b/yarrowwall/watching/freshness_probe.py
@@ -5,7 +5,7 @@
 import eventlet
 
 from yarrowwall import decisions
-from yarrowwall.backoff import doubled_s
+from yarrowwall.backoff import exponential_backoff_s
 from yarrowwall.decisions import DecisionLog
 from yarrowwall.hashing import fraction
 from yarrowwall.policy.freshness import Freshness
@@ -64,10 +64,12 @@
     def _run(self) -> None:
         while True:
             eventlet.sleep(self._own_look_s)
-            while self._freshness.is_worth_asking(self._now()):
+            while self._freshness.should_query_store(self._now()):
                 self._unanswered += 1
                 eventlet.spawn_n(self._ask)
-                pause_s = doubled_s(PAUSE_SECONDS, MOST_PAUSE_SECONDS, self._unanswered - 1)
+                pause_s = exponential_backoff_s(
+                    PAUSE_SECONDS, MOST_PAUSE_SECONDS, self._unanswered - 1
+                )
                 eventlet.sleep(pause_s)
 
     def _ask(self) -> None:
--- a/yarrowwall/watching/order.py
+++ b/yarrowwall/watching/order.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable
 
-from yarrowwall.backoff import doubled_s
+from yarrowwall.backoff import exponential_backoff_s
 from yarrowwall.hashing import fraction
 from yarrowwall.messages.replicated import Member
 
@@ -83,7 +83,7 @@
         """Pass over a reader that did not answer."""
         failures = self._failures.get(node_id, 0)
         self._failures[node_id] = failures + 1
-        pause_s = doubled_s(PASS_OVER_SECONDS, MOST_PASS_OVER_SECONDS, failures)
+        pause_s = exponential_backoff_s(PASS_OVER_SECONDS, MOST_PASS_OVER_SECONDS, failures)
         self._passed_over_until[node_id] = now_s + pause_s
 
     def note_answered_elsewhere(self, node_id: str, now_s: float) -> None:
