--- a/features/steps/room_steps.py
+++ b/features/steps/room_steps.py
@@ -38,7 +38,7 @@
 from yarrowwall.policy.local_admission import STALE_LOADS_FACTOR, LocalAdmission
 from yarrowwall.policy.program_admission import ProgramAdmission
 from yarrowwall.policy.retry_queue import GRACE_SECONDS
-from yarrowwall.policy.tenant_shares import TenantShares, water_level
+from yarrowwall.policy.tenant_shares import TenantShares, fair_share_level
 
 #: What a program that ends late is worth, in parts of one in time: callers give 0.12 to 0.46.
 LATE_WORTH = 0.3
@@ -424,10 +424,10 @@
         shares.note_admitted("large", 20.0, NOW)
     for _ in range(8):
         shares.note_admitted("small", 10.0, NOW)
-    assert shares.tenants_over(waiting) == {"large"}
+    assert shares.tenants_over_share(waiting) == {"large"}
     for _ in range(4):
         shares.note_admitted("small", 10.0, NOW)
-    assert shares.tenants_over(waiting) == {"small"}
+    assert shares.tenants_over_share(waiting) == {"small"}
 
 
 @then("a program that its tenant's limit refused after all leaves its room to the next")
@@ -448,7 +448,7 @@
     def check(tenants: list[tuple[float, float]], capacity: float) -> None:
         demands = {str(number): demand for number, (demand, _) in enumerate(tenants)}
         weights = {str(number): weight for number, (_, weight) in enumerate(tenants)}
-        level = water_level(demands, weights, capacity)
+        level = fair_share_level(demands, weights, capacity)
         given_out = sum(min(demand, weights[name] * level) for name, demand in demands.items())
         assert abs(given_out - min(capacity, sum(demands.values()))) < 1e-6 * (1.0 + capacity)
 
--- a/features/steps/server_life_steps.py
+++ b/features/steps/server_life_steps.py
@@ -161,7 +161,7 @@
     for other in ("e2", "e3", "e4", "e5"):
         incarnations.put(told(Incarnation(other, born)), SERVICES, NOW_S)
     chooser = ServerChooser(incarnations)
-    found = chooser._reading(list(incarnations.states.values()), _matched(chooser, request))
+    found = chooser._prefill_tokens(list(incarnations.states.values()), _matched(chooser, request))
     own = PROMPT[1].tokens
     expected = {"little": NEW_TOKENS, "all": own}[what]
     assert found[name] == expected or (
@@ -172,13 +172,13 @@
 def _matched(chooser: ServerChooser, request: PlacementRequest) -> PlacementRequest:
     """Return a request as the choice understands it."""
     seen: list[PlacementRequest] = []
-    reading = chooser._reading
+    reading = chooser._prefill_tokens
 
     def note(states: Any, understood: PlacementRequest) -> dict[str, int]:
         seen.append(understood)
         return reading(states, understood)
 
-    with patch.object(chooser, "_reading", note):
+    with patch.object(chooser, "_prefill_tokens", note):
         chooser.choose("models", (), NOW_S, request)
     return seen[0]
 
--- a/yarrowwall/policy/__init__.py
+++ b/yarrowwall/policy/__init__.py
@@ -1,5 +1,5 @@
-"""The rules that choose, admit, rank, retry and give up.
+"""Rules for admission, server choice, priorities, retries and timeouts.
 
-No I/O: each rule gets what it needs as arguments, the time among them, and most own the few
-figures that they decide from. docs/DECISIONS.md has a row for each.
+The rules do no I/O: they are given all input as arguments, including the time, and most keep the
+few figures that they decide from. docs/DECISIONS.md has a row for each.
 """
--- a/yarrowwall/policy/budget_parts.py
+++ b/yarrowwall/policy/budget_parts.py
@@ -1,8 +1,8 @@
-"""Division of a program's budget among ledgers, and the pieces that a turn takes. No I/O.
+"""Division of a program's budget into parts, and allocation of turns to them. No I/O.
 
-A budget is divided beforehand: the common group may grant one part of it, the group of each
-zone another. Each ledger guarantees the sum of what it grants by itself, so the sum of all
-never exceeds the budget, whoever reaches whom.
+A budget is divided in advance: the common group may grant one part of it, and the group of each
+zone another. Each group's ledger never grants more than its part, so the sum never exceeds the
+budget, even while the groups cannot reach one another.
 """
 
 from collections import Counter
@@ -10,15 +10,15 @@
 from enum import IntEnum
 from typing import NamedTuple, Protocol
 
-#: Share of a budget that the common group may grant, in percent. Ordinary programs rarely leave
-#: it; a larger one would leave a zone's part of a small budget too little for a turn.
+#: Share of a budget that the common group may grant, in percent. Ordinary programs rarely need
+#: more; a larger share would make a zone's part of a small budget too small for a turn.
 COMMON_PERCENT = 50
-#: Least share of what a turn wants, in percent, that is worth a start while a ledger cannot be
-#: asked. Most turns emit no more; one that would is broken off, and without a start all would be
-#: lost for the length of a cut.
+#: Share of the tokens that a turn wants, in percent, that is enough to start it while a ledger
+#: cannot be reached. Most turns emit no more. One that would is broken off; refusing to start would
+#: fail every turn for the length of a network partition.
 MIN_SHARE_PERCENT = 20
 
-#: Begins the key of what a turn that was granted less than its most claims once more.
+#: Prefix of the keys of further claims, made by turns that were granted less than they want.
 _MORE_PREFIX = "budget-more/"
 
 
@@ -26,7 +26,7 @@
     """The division of one budget.
 
     :param common: tokens that the common group may grant.
-    :param per_zone: tokens that each zone's group may grant.
+    :param per_zone: tokens that the group of each zone may grant.
     """
 
     common: int
@@ -34,7 +34,7 @@
 
 
 def divide_budget(budget: int, zones: int) -> BudgetParts:
-    """Return the parts of a budget; together they make up the budget."""
+    """Return the parts of a budget; their sum is the budget."""
     if zones == 0:
         return BudgetParts(budget, 0)
     per_zone = budget * (100 - COMMON_PERCENT) // (100 * zones)
@@ -44,47 +44,47 @@
 def further_claim_key(key: str, number: int) -> str:
     """Return the key of a further claim of a turn that was granted less than it wants.
 
-    It comes before the keys of all first claims, so turns that are under way go first.
+    It sorts before the keys of all first claims, so turns in progress have priority.
     """
     return f"{_MORE_PREFIX}{number}/{key}"
 
 
 def first_claim_key(key: str) -> str:
-    """Return the key of a turn's first claim, given that of any."""
+    """Return the key of a turn's first claim, given the key of any of its claims."""
     if not key.startswith(_MORE_PREFIX):
         return key
     return key.removeprefix(_MORE_PREFIX).partition("/")[2]
 
 
 class ClaimState(IntEnum):
-    """How sure a claim is; these are versions of its record, so a later one replaces it."""
+    """State of a claim: the version of its record, so a later state replaces an earlier one."""
 
-    #: Written, and its turn may still be refused or need less.
+    #: Written; the turn may still be refused or need less.
     RESERVED = 0
-    #: Granted at this amount, and the turn is not over.
+    #: Granted at this amount; the turn has not ended.
     GRANTED = 1
-    #: The turn is over and emitted this amount.
+    #: The turn has ended and emitted this amount.
     SETTLED = 2
 
 
 class Claim(Protocol):
-    """What another turn of the program holds of a part."""
+    """A claim of another turn of the program on a part."""
 
     @property
     def version(self) -> int:
-        """Return its state."""
+        """Return the state of the claim."""
 
     @property
     def tokens(self) -> int:
-        """Return what it counts for."""
+        """Return the tokens that the claim counts for."""
 
 
 class PartReading(NamedTuple):
-    """What a turn knows of one part after its own claim was written there.
+    """The claims on one part, as read after a turn's own claim was written.
 
     :param size: tokens of the part.
-    :param asked: tokens that the turn has claimed there.
-    :param others: claims of other turns by their key, which is the same in all groups.
+    :param asked: tokens that the turn has claimed of it.
+    :param others: claims of other turns by key, which is the same in all groups.
     """
 
     size: int
@@ -99,39 +99,39 @@
 
 
 def pieces_to_take(readings: Mapping[int, PartReading], wanted: int) -> dict[int, int]:
-    """Return what a turn takes of each group's part, in their order, up to what it wants."""
-    found = {}
+    """Return the tokens that a turn takes of each group's part, in order, up to ``wanted``."""
+    pieces = {}
     left = wanted
     for group, reading in readings.items():
-        found[group] = min(reading.free, left)
-        left -= found[group]
-    return found
+        pieces[group] = min(reading.free, left)
+        left -= pieces[group]
+    return pieces
 
 
 class Verdict(IntEnum):
-    """What follows from the readings of all parts that could be asked."""
+    """The decision that follows from all parts that could be read."""
 
     GRANTED = 0
-    #: Less than is wanted, but a turn may begin with it: some part could not be asked.
+    #: Granted less than is wanted, but enough to start: some part could not be read.
     SHORT = 1
-    #: The budget does not hold the turn.
+    #: The budget does not have enough tokens for the turn.
     EXHAUSTED = 2
-    #: Turns behind it that came at once are in the way, and will give up; look again.
+    #: Concurrent turns later in the order hold claims that they will withdraw; read again.
     CONTENDED = 3
-    #: Turns in front of it are in the way, or a part that matters could not be asked.
+    #: Turns earlier in the order hold claims, or a part that matters could not be read.
     UNCERTAIN = 4
 
 
 def decide_grant(
     readings: Mapping[int, PartReading], key: str, wanted: int, unread: int
 ) -> Verdict:
-    """Return what becomes of a turn.
+    """Return the decision on a turn.
 
-    Turns that come at once may all claim what only one can have. The first one in order of keys
-    goes on, the others give up.
+    Concurrent turns may all claim tokens that suffice for only one of them. The first in the order
+    of keys proceeds, and the others withdraw.
 
-    :param key: of the turn's own claims.
-    :param unread: tokens of the parts that could not be asked; they may all be free.
+    :param key: key of the turn's own claims.
+    :param unread: tokens of the parts that could not be read; all of them may be free.
     """
     if not readings:
         return Verdict.UNCERTAIN
@@ -148,12 +148,15 @@
 
 
 def is_exhausted(readings: Mapping[int, PartReading], key: str, wanted: int, unread: int) -> bool:
-    """Return whether a budget cannot hold a turn beside those in front, whatever is unread."""
-    return _left(readings, in_front_of=key) + unread < wanted
+    """Return whether a budget lacks the tokens for a turn, even if all unread ones are free.
+
+    Undecided claims of turns later in the order do not count.
+    """
+    return _tokens_left(readings, before_key=key) + unread < wanted
 
 
 def is_permanently_exhausted(readings: Mapping[int, PartReading], wanted: int, unread: int) -> bool:
-    """Return whether a budget will never hold such a turn again: what is settled stays so."""
+    """Return whether the settled claims alone leave too little for a turn; this is final."""
     left = unread
     for reading in readings.values():
         claims = reading.others.values()
@@ -163,7 +166,7 @@
 
 
 def _free_later(reading: PartReading, key: str) -> int:
-    """Return the tokens that a turn may take once those behind it have given up."""
+    """Return the tokens that a turn may take once turns later in the order have withdrawn."""
     used = sum(
         claim.tokens
         for other, claim in reading.others.items()
@@ -173,37 +176,40 @@
 
 
 def fits_with_all_claims(readings: Mapping[int, PartReading], wanted: int) -> bool:
-    """Return whether a turn fits beside all others, each counted with the most it may get."""
-    return _left(readings) >= wanted
+    """Return whether a turn fits in addition to the claims of all other turns."""
+    return _tokens_left(readings) >= wanted
 
 
-def _left(readings: Mapping[int, PartReading], in_front_of: str | None = None) -> int:
-    """Return what all parts hold beside others, each counted with the least that it may get.
+def _tokens_left(readings: Mapping[int, PartReading], before_key: str | None = None) -> int:
+    """Return the tokens of all parts that are left by other turns.
 
-    While a turn is undecided it has claimed all that it wants where it asked first, and the rest
-    elsewhere, and parts are looked at one after the other. So what is sure in one part may be
-    a piece of what is still claimed in another, and so may what it claimed once more.
+    An undecided turn has claimed all that it wants of the first part that it asked, and the rest of
+    others, and the parts are read one after another. So tokens granted of one part, or by a further
+    claim, may be included in a claim that is still undecided in another part. Each turn therefore
+    counts once, with its granted or its undecided tokens, whichever are more.
 
-    :param in_front_of: leave out undecided turns behind this one in order.
+    :param before_key: ignore undecided turns that do not come before this key.
     """
     left = 0
-    sure: Counter[str] = Counter()
+    granted: Counter[str] = Counter()
     undecided: dict[str, int] = {}
     for reading in readings.values():
         left += reading.size
         for key, claim in reading.others.items():
             turn = first_claim_key(key)
             if claim.version > ClaimState.RESERVED:
-                sure[turn] += claim.tokens
-            elif in_front_of is None or key < in_front_of:
+                granted[turn] += claim.tokens
+            elif before_key is None or key < before_key:
                 undecided[turn] = max(undecided.get(turn, 0), claim.tokens)
-    return left - sum(max(sure[turn], undecided.get(turn, 0)) for turn in sure.keys() | undecided)
+    return left - sum(
+        max(granted[turn], undecided.get(turn, 0)) for turn in granted.keys() | undecided
+    )
 
 
 def allocate_spent(pieces: Mapping[int, int], tokens: int) -> dict[int, int]:
-    """Return how much of each piece a turn has spent; the rest is handed back.
+    """Return how much of each piece a turn has spent; the rest is returned to the parts.
 
-    What it emitted beyond all pieces counts at the first one: no token goes uncounted.
+    Tokens emitted beyond all pieces are added to the first one, so that every token is counted.
     """
     spent = {}
     left = tokens
--- a/yarrowwall/policy/capacity_forecast.py
+++ b/yarrowwall/policy/capacity_forecast.py
@@ -1,48 +1,48 @@
-"""Room for new programs at a service, as a forecast from what is under way. No I/O."""
+"""Forecast of how many more programs a service has capacity for. No I/O."""
 
 from typing import NamedTuple
 
 from yarrowwall.messages.capacity import Scarce
 
-#: Part of the places of sound servers that programs under way may take. A program is wanted within
-#: about twice its time on idle servers, and up to four fifths of its places an engine is slower
-#: by less than that; above, turns queue, and a late program keeps its memory for longer. It also
-#: covers what gateways admit within the age of the sums and the unevenness of placement.
+#: Share of the slots of healthy servers that active programs may use. Programs should finish within
+#: about twice their time on idle servers. An engine stays within that up to four fifths of its
+#: slots; above, turns queue and late programs keep their cache memory for longer. The rest also
+#: covers what gateways admit between two load reports, and uneven placement.
 SLOTS_SHARE = 0.8
-#: The same where memory is ample: turns may wait a little.
+#: The same while cache memory is plentiful, so that turns may queue for a short time.
 LARGE_CACHE_SLOTS_SHARE = 1.25
-#: Times the memory that a program in each place keeps, from which memory is ample.
+#: Cache memory is plentiful if it holds this many typical programs for each slot.
 LARGE_CACHE_FACTOR = 4.0
-#: Part of all places that must be taken before a program is refused: under half of them some
-#: server is free, whatever the forecast says.
+#: Share of all slots that must be in use before a program is refused. Below half, some server is
+#: free, whatever the forecast says.
 REFUSAL_SHARE = 0.5
-#: Part of the engines' memory that prompts of programs' own may take. The rest is for parts that
-#: all programs share, for what is made, and for engines that get more than the mean; beyond it
-#: prompts push one another out and are read again, which takes the time that others need.
+#: Share of the engines' cache memory for prompts that belong to single programs. The rest holds
+#: prefixes that programs share and generated tokens, and covers engines with more than their even
+#: share. Above it, prompts evict one another and must be prefilled again.
 MEMORY_SHARE = 0.75
 
 
-def free_slots(places: float, taken: float, memory_tokens: int = 0, tokens: int = 0) -> float:
-    """Return the places that more programs may take.
+def free_slots(slots: float, requests: float, memory_tokens: int = 0, tokens: int = 0) -> float:
+    """Return the slots that more programs may use; negative if too many are in use.
 
-    :param places: of sound servers.
-    :param taken: requests under way there.
-    :param memory_tokens: that their engines hold.
-    :param tokens: that programs are usually expected to keep; 0 if untold.
+    :param slots: slots of healthy servers.
+    :param requests: requests in progress at these servers.
+    :param memory_tokens: token capacity of their engines' caches.
+    :param tokens: cache tokens that a typical program needs; 0 if unknown.
     """
-    is_ample = tokens > 0 and memory_tokens >= LARGE_CACHE_FACTOR * places * tokens
-    return (LARGE_CACHE_SLOTS_SHARE if is_ample else SLOTS_SHARE) * places - taken
+    is_cache_large = tokens > 0 and memory_tokens >= LARGE_CACHE_FACTOR * slots * tokens
+    return (LARGE_CACHE_SLOTS_SHARE if is_cache_large else SLOTS_SHARE) * slots - requests
 
 
 class ServiceCapacity(NamedTuple):
-    """The servers of a service as one gateway sees them.
-
-    :param requests: requests under way at sound servers, of all gateways as far as known.
-    :param slots: of sound servers; slower ones count for as much less.
-    :param listed_requests: requests under way at all servers, sound or not.
-    :param listed_slots: of all servers.
-    :param memory_tokens: that their engines hold.
-    :param age_s: how old the sums of other gateways are.
+    """Slots, load and cache memory of a service, as known to one gateway.
+
+    :param requests: requests of all gateways in progress at healthy servers, by the last report.
+    :param slots: slots of healthy servers; slow servers count for proportionally fewer.
+    :param listed_requests: requests in progress at all listed servers, healthy or not.
+    :param listed_slots: slots of all listed servers.
+    :param memory_tokens: token capacity of the caches of healthy servers' engines.
+    :param age_s: seconds since the other gateways' loads were received.
     """
 
     requests: int
@@ -54,15 +54,15 @@
 
     @property
     def is_open(self) -> bool:
-        """Return whether so much is free that no program may be refused."""
+        """Return whether so many slots are free that no program may be refused."""
         return self.listed_requests < REFUSAL_SHARE * self.listed_slots
 
 
 class ReportedPrograms(NamedTuple):
-    """What all gateways told of their programs at a service.
+    """Active programs at a service, as reported by all gateways.
 
-    :param between: programs between two turns that are likely to go on.
-    :param tokens: of prompts of their own that engines keep for programs under way.
+    :param between: programs between two turns that are likely to continue.
+    :param tokens: cache tokens that active programs use, without prefixes shared among them.
     """
 
     between: int = 0
@@ -70,24 +70,25 @@
 
 
 class CapacityForecast(NamedTuple):
-    """How many programs there is room for, and what is scarcer."""
+    """The number of programs that there is capacity for, and the scarcer resource."""
 
     programs: float
     scarce: Scarce
 
 
 def forecast(
-    free: float, memory_tokens: int, under_way: ReportedPrograms, begun: int, tokens: int
+    free: float, memory_tokens: int, reported: ReportedPrograms, begun: int, tokens: int
 ) -> CapacityForecast:
-    """Return how many more programs there is room for.
+    """Return how many more programs the service has capacity for.
 
-    :param free: places that more programs may take.
-    :param begun: programs that were admitted lately and aren't in the sums yet.
-    :param tokens: that one program is expected to keep.
+    :param free: slots that more programs may use.
+    :param memory_tokens: token capacity of the engines' caches.
+    :param begun: programs that were admitted too recently to be included in the reports.
+    :param tokens: cache tokens that one program is expected to need.
     """
-    places = free - begun
-    kept = max(tokens, 1)
-    memory = (MEMORY_SHARE * memory_tokens - under_way.tokens) / kept - begun
-    if memory < places and memory_tokens:
-        return CapacityForecast(memory, Scarce.MEMORY)
-    return CapacityForecast(places, Scarce.PLACES)
+    by_slots = free - begun
+    needed = max(tokens, 1)
+    by_memory = (MEMORY_SHARE * memory_tokens - reported.tokens) / needed - begun
+    if by_memory < by_slots and memory_tokens:
+        return CapacityForecast(by_memory, Scarce.MEMORY)
+    return CapacityForecast(by_slots, Scarce.PLACES)
--- a/yarrowwall/policy/incarnations.py
+++ b/yarrowwall/policy/incarnations.py
@@ -1,22 +1,22 @@
-"""Which incarnation of each server is the newest that was told of. No I/O."""
+"""The newest known incarnation of each server. No I/O."""
 
 from collections import OrderedDict
 
 from yarrowwall.model import Incarnation
 
-#: Servers of which the newest incarnation is remembered after they have gone. A list may be some
-#: seconds old and still tell of one that is over; servers come and go by dozens meanwhile.
+#: Servers whose newest incarnation is kept after they have gone. A list may be some seconds old and
+#: still name an incarnation that has ended, while dozens of servers come and go.
 MAX_REMEMBERED = 4096
 
 
 class NewestIncarnations:
-    """The newest incarnation of each server, also of those that have gone."""
+    """The newest incarnation of each server, including servers that have gone."""
 
     def __init__(self) -> None:
         self._newest: OrderedDict[str, Incarnation] = OrderedDict()
 
     def note(self, incarnation: Incarnation) -> bool:
-        """Take in that an incarnation was told of; return False if a later one is known."""
+        """Record an incarnation; return False if a later one is known."""
         known = self._newest.get(incarnation.server_id)
         if known is not None and incarnation.is_before(known):
             return False
--- a/yarrowwall/policy/memory_budget.py
+++ b/yarrowwall/policy/memory_budget.py
@@ -1,8 +1,8 @@
-"""What a gateway holds for its callers and servers, in bytes, and when that is too much. No I/O.
+"""Limits the bytes that a gateway buffers for its callers and servers. No I/O.
 
-Callers may send and read slowly, and servers too. Whatever a gateway holds for them meanwhile
-comes out of its machine's memory, and a process that is ended for memory takes all its requests
-with it; so a request that would go beyond is refused, or ended, by itself.
+Callers and servers may send and read slowly, and the gateway buffers their data in its machine's
+memory. If the process were killed for lack of memory, all its requests would fail. So a request
+that would exceed a limit is refused or ended alone.
 """
 
 from collections.abc import Mapping
@@ -10,28 +10,33 @@
 
 from yarrowwall.exceptions import RelayError
 
-#: Part of a machine's memory that may be held for all requests together. A gateway at rest has
-#: some 30 MB (a quarter of the smallest machines), and each byte of a body exists up to three
-#: times while it is sent: as it came, with the turns before it, and as the request's bytes.
+#: Share of a machine's memory that may be buffered for all requests together. An idle gateway uses
+#: about 30 MB (a quarter of the smallest machines), and each byte of a body exists up to three
+#: times while it is sent: as received, joined with the turns before it, and in the request.
 TOTAL_SHARE = 0.15
-#: Parts of that for one caller and for one server: four of either can't hold up all others.
+#: Shares of that for one caller and for one server: it takes four of either to use it up.
 CALLER_SHARE = 0.25
 SERVER_SHARE = 0.25
-#: Parts of the bound for all from which new requests are refused, and down to which they are
-#: refused then. Between the high mark and the bound those that run can end.
+#: Shares of the total at which new requests begin to be refused, and at which they are accepted
+#: again. Running requests can finish within what is left above the high watermark.
 HIGH_WATERMARK = 0.8
 LOW_WATERMARK = 0.6
-#: Machine's memory where the settings do not tell it.
+#: The machine's memory if the settings do not specify it.
 DEFAULT_MEMORY_MB = 256.0
 _MEGABYTE = 1024 * 1024
 
 
 class MemoryExhaustedError(RelayError):
-    """What is held for a caller, a server or all of them has reached its bound."""
+    """The limit of the bytes buffered for one caller, one server or all requests is reached."""
 
 
 class MemoryBounds(NamedTuple):
-    """The most bytes that may be held."""
+    """Limits of the buffered bytes.
+
+    :param total: limit for all requests together.
+    :param caller: limit for one caller.
+    :param server: limit for one server.
+    """
 
     total: int
     caller: int
@@ -39,16 +44,16 @@
 
     @classmethod
     def of_machine(cls, memory_mb: float) -> "MemoryBounds":
-        """Return the bounds on a machine with so much memory."""
+        """Return the limits for a machine with the given memory."""
         total = TOTAL_SHARE * memory_mb * _MEGABYTE
         return cls(int(total), int(CALLER_SHARE * total), int(SERVER_SHARE * total))
 
 
 class MemoryBudget:
-    """The bytes held for all callers and servers.
+    """Counts the bytes that are buffered for all callers and servers.
 
-    :ivar held: bytes held now.
-    :ivar peak: the most bytes that were held at once.
+    :ivar held: bytes buffered now.
+    :ivar peak: maximum of ``held`` so far.
     """
 
     def __init__(self, bounds: MemoryBounds) -> None:
@@ -56,33 +61,36 @@
         self.held = 0
         self.peak = 0
         self._by_server: dict[str, int] = {}
-        self._is_near = False
+        self._is_nearly_full = False
 
     @property
     def is_nearly_full(self) -> bool:
-        """Return whether the bound is so near that no new request is taken."""
+        """Return whether new requests are refused: from the high watermark down to the low one."""
         if self.held >= HIGH_WATERMARK * self.bounds.total:
-            self._is_near = True
+            self._is_nearly_full = True
         elif self.held < LOW_WATERMARK * self.bounds.total:
-            self._is_near = False
-        return self._is_near
+            self._is_nearly_full = False
+        return self._is_nearly_full
 
     def accepts_request(self, announced: int) -> bool:
-        """Return whether a request whose body has so many bytes is taken."""
+        """Return whether a new request is accepted.
+
+        :param announced: bytes of its body.
+        """
         fits = announced <= self.bounds.caller and self.held + announced <= self.bounds.total
         return fits and not self.is_nearly_full
 
     def held_for_server(self, server: str) -> int:
-        """Return the bytes held for one server."""
+        """Return the bytes buffered for one server."""
         return self._by_server.get(server, 0)
 
     @property
     def largest_server_bytes(self) -> int:
-        """Return the bytes held for the server that has most."""
+        """Return the bytes buffered for the server that has the most."""
         return max(self._by_server.values(), default=0)
 
     def open_request(self) -> "RequestMemory":
-        """Return what is held for one request, nothing yet."""
+        """Return the counter of a new request."""
         return RequestMemory(self)
 
     def _grow(self, size: int, server: str) -> None:
@@ -95,11 +103,11 @@
     def _shrink(self, size: int, by_server: Mapping[str, int]) -> None:
         self.held -= size
         for server, count in by_server.items():
-            _take_off(self._by_server, server, count)
+            _subtract(self._by_server, server, count)
 
 
-def _take_off(held: dict[str, int], server: str, size: int) -> None:
-    """Hold so much less for a server, and keep none for which nothing is held."""
+def _subtract(held: dict[str, int], server: str, size: int) -> None:
+    """Subtract bytes of a server, and remove its entry if none are left."""
     left = held.get(server, 0) - size
     if left > 0:
         held[server] = left
@@ -108,7 +116,7 @@
 
 
 class RequestMemory:
-    """The bytes held for one request of a caller."""
+    """Counts the bytes that are buffered for one request of a caller."""
 
     def __init__(self, budget: MemoryBudget) -> None:
         self._budget = budget
@@ -116,11 +124,11 @@
         self.size = 0
 
     def grow(self, size: int, server: str = "") -> None:
-        """Hold more bytes.
+        """Add buffered bytes.
 
-        :param server: text of the incarnation of the server that they came from; empty if from the
-            caller.
-        :raises MemoryExhaustedError: if they are too many; then they are not counted.
+        :param server: text of the incarnation of the server that sent them; empty if the caller
+            did.
+        :raises MemoryExhaustedError: if they would exceed a limit; then they are not counted.
         """
         budget = self._budget
         if self.size + size > budget.bounds.caller:
@@ -135,14 +143,14 @@
         budget._grow(size, server)
 
     def shrink(self, size: int, server: str = "") -> None:
-        """Hold bytes no more that were held before, of a server or of the caller."""
+        """Subtract bytes of a server or of the caller that were added before."""
         self.size -= size
         if server:
-            _take_off(self._by_server, server, size)
+            _subtract(self._by_server, server, size)
         self._budget._shrink(size, {server: size} if server else {})
 
     def close(self) -> None:
-        """Hold nothing any more."""
+        """Subtract everything that is still counted for the request."""
         self._budget._shrink(self.size, self._by_server)
         self.size = 0
         self._by_server.clear()
--- a/yarrowwall/policy/prefix_cache.py
+++ b/yarrowwall/policy/prefix_cache.py
@@ -1,7 +1,7 @@
-"""What prompt prefixes each server is believed to keep in memory.
+"""Estimates which prompt prefixes each server has cached. No I/O.
 
-The belief comes from this gateway's own sends. A server drops the parts unused
-longest once its memory is full; the belief does the same.
+The estimate is based on what this gateway has sent. Servers evict the least recently
+used parts when their memory is full, and the estimate does the same.
 """
 
 from collections import OrderedDict
@@ -9,20 +9,19 @@
 
 from yarrowwall.model import PromptPart
 
-#: Part of an engine's memory that is believed to hold cached parts; running
-#: requests and other gateways' prompts fill the rest.
+#: Share of an engine's memory that is assumed to hold parts sent by this gateway; the
+#: rest holds running requests and the prompts of other gateways.
 CACHE_SHARE = 0.7
-#: Part of what is believed to be kept that shared parts may take if every server is to
-#: keep all of them.
+#: Share of that which shared prefixes may fill so that every server can cache all of them.
 SHARED_PREFIX_SHARE = 0.4
-#: Shared parts that are remembered; beyond it the one unseen longest is forgotten.
+#: Maximum number of known shared prefixes; beyond it the least recently seen is dropped.
 MAX_SHARED_PREFIXES = 1000
 
 
 class PrefixCacheEstimate:
-    """The parts that one server is believed to keep.
+    """Estimate of the prompt parts that one server has cached.
 
-    :param capacity: tokens of memory.
+    :param capacity: tokens of the server's memory.
     """
 
     def __init__(self, capacity: int) -> None:
@@ -32,19 +31,19 @@
 
     @property
     def capacity(self) -> int:
-        """Return the tokens that the server is believed to keep at most."""
+        """Return the number of tokens that the server is assumed to cache at most."""
         return self._capacity
 
     def resize(self, capacity: int) -> None:
-        """Take in another size of the server's memory.
+        """Change the size of the server's memory.
 
-        :param capacity: tokens of memory.
+        :param capacity: tokens of the server's memory.
         """
         self._capacity = int(capacity * CACHE_SHARE)
-        self._forget_beyond()
+        self._evict()
 
     def cached_tokens(self, prompt: Sequence[PromptPart]) -> int:
-        """Return the tokens of a prompt that need not be read again."""
+        """Return the tokens of a prompt that need no prefill."""
         found = 0
         for part in prompt:
             kept = self._parts.get(part.part_id, 0)
@@ -54,29 +53,29 @@
         return found
 
     def note_sent(self, prompt: Sequence[PromptPart]) -> None:
-        """Take in that the server read a prompt."""
-        # Later parts are useless without earlier ones, so the first part is the newest.
+        """Record that a prompt was sent to the server."""
+        # Later parts are useless without earlier ones, so the first part must be evicted last.
         for part in reversed(prompt):
             self._tokens -= self._parts.pop(part.part_id, 0)
             self._parts[part.part_id] = part.tokens
             self._tokens += part.tokens
-        self._forget_beyond()
+        self._evict()
 
-    def _forget_beyond(self) -> None:
+    def _evict(self) -> None:
         while self._tokens > self._capacity and len(self._parts) > 1:
             _, tokens = self._parts.popitem(last=False)
             self._tokens -= tokens
 
 
 class SharedPrefixes:
-    """The first parts of all prompts, which many programs share."""
+    """The first parts of prompts, which many programs share."""
 
     def __init__(self) -> None:
         self._parts: OrderedDict[str, int] = OrderedDict()
         self._tokens = 0
 
     def note(self, part: PromptPart) -> None:
-        """Take in the first part of a prompt."""
+        """Record the first part of a prompt."""
         self._tokens += part.tokens - self._parts.pop(part.part_id, 0)
         self._parts[part.part_id] = part.tokens
         if len(self._parts) > MAX_SHARED_PREFIXES:
@@ -84,5 +83,8 @@
             self._tokens -= tokens
 
     def fit_into(self, capacity: int) -> bool:
-        """Return whether a server of a capacity in tokens can keep all of them."""
+        """Return whether a server can cache all shared prefixes.
+
+        :param capacity: tokens that the server is assumed to cache.
+        """
         return self._tokens <= SHARED_PREFIX_SHARE * capacity
--- a/yarrowwall/policy/program_sizes.py
+++ b/yarrowwall/policy/program_sizes.py
@@ -1,20 +1,20 @@
-"""How many requests a program is expected to make, learned from those that ran. No I/O."""
+"""Estimates how many requests a program makes from those that ran before. No I/O."""
 
 from collections import defaultdict
 
-#: What is held to be usual before the first program, and for how many programs that counts.
-#: A program of a few turns with a lookup or two behind each makes some eight requests.
+#: Requests assumed per program before the first, and the number of programs that this counts for.
+#: A program of a few turns with one or two lookups after each makes about eight requests.
 INITIAL_SIZE = 8.0
 INITIAL_PROGRAMS = 3.0
-#: Programs of a route after which the oldest have lost half of their weight: a minute or two of
-#: traffic at a gateway where one begins each second.
+#: Programs of a route after which an older one has lost half of its weight: one to two minutes of
+#: traffic at a gateway where one program starts per second.
 HALF_LIFE_PROGRAMS = 100.0
 
 _DECAY = 0.5 ** (1.0 / HALF_LIFE_PROGRAMS)
 
 
 class _RouteCounts:
-    """Programs that began with a route, and its turns."""
+    """Decayed counts of programs that began on a route, and of its turns."""
 
     def __init__(self) -> None:
         self.programs = INITIAL_PROGRAMS
@@ -22,9 +22,9 @@
 
 
 class ProgramSizes:
-    """Counts turns against programs by route, and lookups against turns over all routes.
+    """Estimates turns per program by route, and lookups per turn over all routes.
 
-    A gateway need not see all of a program: both are counted over many.
+    A gateway need not see every request of a program, since the ratios are taken over many.
     """
 
     def __init__(self) -> None:
@@ -33,7 +33,7 @@
         self._lookups = self._turns
 
     def note_turn(self, route: str, begins_program: bool) -> None:
-        """Take in a turn."""
+        """Count a turn."""
         counts = self._routes[route]
         if begins_program:
             counts.programs = counts.programs * _DECAY + 1.0
@@ -44,15 +44,15 @@
         self._turns += 1.0
 
     def note_lookup(self) -> None:
-        """Take in a lookup of any program."""
+        """Count a lookup of any program."""
         self._lookups += 1.0
 
     def expected_requests(self, route: str) -> float:
-        """Return the requests that a program beginning on a route is expected to make."""
+        """Return the expected number of requests of a program that begins on a route."""
         counts = self._routes[route]
         return counts.turns / counts.programs * (1.0 + self._lookups / self._turns)
 
     def expected_turns(self, route: str) -> float:
-        """Return the turns that a program beginning on a route is expected to have."""
+        """Return the expected number of turns of a program that begins on a route."""
         counts = self._routes[route]
         return counts.turns / counts.programs
--- a/yarrowwall/policy/request_time.py
+++ b/yarrowwall/policy/request_time.py
@@ -1,15 +1,15 @@
-"""How long a request may take. No I/O; times are seconds of the monotonic clock."""
+"""The deadline of a request. No I/O; times are seconds of the monotonic clock."""
 
 
 class RequestTime:
-    """The time of one request: until its caller's deadline, or its route's time if that is less.
+    """The time of one request: until its caller's deadline or its route's timeout.
 
-    Configurations come into force while it is under way. It gets the longest of the times that its
-    route had meanwhile: it was admitted with the one, and callers may rely on the other.
+    New configurations may come into force while the request is in progress. The longest of its
+    route's timeouts applies: it was admitted with one, and callers may rely on another.
 
-    :param arrived_at: when it arrived.
-    :param deadline: when its caller gives it up.
-    :param route_s: its route's time when it was admitted.
+    :param arrived_at: time at which the request arrived.
+    :param deadline: time at which its caller gives up.
+    :param route_s: the route's timeout at admission.
     """
 
     def __init__(self, arrived_at: float, deadline: float, route_s: float) -> None:
@@ -19,9 +19,9 @@
 
     @property
     def end(self) -> float:
-        """Return when the time is over."""
+        """Return the time at which the request times out."""
         return min(self._deadline, self._arrived_at + self._route_s)
 
     def note_route_s(self, route_s: float) -> None:
-        """Take in the time that the route has from now on."""
+        """Record a new timeout of the route."""
         self._route_s = max(self._route_s, route_s)
--- a/yarrowwall/policy/retry_queue.py
+++ b/yarrowwall/policy/retry_queue.py
@@ -10,41 +10,44 @@
 from collections import Counter
 from typing import NamedTuple
 
-#: Seconds beyond the time at which a caller was told to come back for which it is waited for. It
-#: is a way to and fro and, if its request is out of tries, a pause before it is sent anew.
+#: Seconds after the announced retry time for which a program is kept in the queue. They cover a
+#: round trip and, if its request has no tries left, the pause before the next request.
 GRACE_SECONDS = 0.6
-#: Programs that are remembered. Beyond it whoever is refused is told when to come back and comes
-#: as a new one. Each decision goes through all of them; it holds those that two hundred places
-#: free in some seconds.
+#: Maximum number of programs in the queue; programs refused beyond it are new when they retry.
+#: Every decision iterates over all of them. 500 are the programs that 200 slots can start within
+#: some seconds.
 MAX_WAITING = 500
-#: Part of the time that a program had when it first came, below which it can no longer be in time.
-#: Programs are wanted within about twice their time on idle servers; at the most that servers
-#: are filled to, they take up to 1.3 times that.
+#: A program can no longer finish in time if less than this share of the time that it had at first
+#: is left. Programs should finish within about twice their time on idle servers. On servers
+#: filled up to the limit they take up to 1.3 times that.
 ON_TIME_SHARE = 0.6
-#: Seconds after which a program goes behind in any case. Long programs have time for more, and
-#: would pass all short ones by. It is about the longest that a caller waits at once.
+#: Seconds after which a program counts as late in any case. Long programs have more time left and
+#: would otherwise come before all short ones. It is about the longest that callers wait for one
+#: retry.
 MAX_ON_TIME_SECONDS = 1.5
 
 
 class QueuePosition(NamedTuple):
-    """A program's place in the order; the least goes first.
+    """A program's position in the order of admission; the lowest comes first.
 
-    :param is_new: whether it goes on from no answered turn.
-    :param is_over: whether its tenant has more than its share.
-    :param is_late: whether it is new and can no longer be in time.
+    :param is_new: whether it does not continue from an answered turn.
+    :param is_over_share: whether its tenant exceeds its share.
+    :param is_late: whether it is new and can no longer finish in time.
+    :param number: position by first refusal.
     """
 
     is_new: bool
-    is_over: bool
+    is_over_share: bool
     is_late: bool
     number: int
 
 
-class _Waiting(NamedTuple):
+class _WaitingProgram(NamedTuple):
     """A program that was refused.
 
-    :param number: rises with each program's first refusal.
-    :param late_from_s: when it can no longer be in time.
+    :param number: position by first refusal.
+    :param late_from_s: time from which it can no longer finish in time.
+    :param due_s: time at which it was asked to retry.
     """
 
     tenant: str
@@ -55,12 +58,13 @@
 
 
 class ProgramsAhead(NamedTuple):
-    """The programs that go before one.
+    """Counts of the waiting programs that come before a given one.
 
-    :param due: those of them that should be back by now, or are any moment.
-    :param due_continued: those of these that go on from an answered turn.
-    :param is_late_due: whether one that can no longer be in time, of a tenant within its share, is
-        due, before it or behind.
+    :param all: all of them.
+    :param due: those that should have retried by now or are about to.
+    :param due_continued: due programs that continue from an answered turn.
+    :param is_late_due: whether any late program of a tenant within its share is due, whether before
+        or after the given one.
     """
 
     all: int
@@ -70,97 +74,105 @@
 
 
 class RetryQueue:
-    """The programs that were refused, until they are admitted or given up."""
+    """The programs that were refused, until they are admitted or their retry is overdue."""
 
     def __init__(self) -> None:
-        self._waiting: dict[int, _Waiting] = {}
+        self._waiting: dict[int, _WaitingProgram] = {}
         self._next_number = 0
         self.by_tenant: Counter[str] = Counter()
 
     def __len__(self) -> int:
-        """Return how many programs are waited for."""
+        """Return the number of waiting programs."""
         return len(self._waiting)
 
-    def forget_past(self, now_s: float) -> None:
-        """Wait no more for programs that should have come back long ago."""
-        past = [
+    def drop_expired(self, now_s: float) -> None:
+        """Remove the programs whose retry is overdue."""
+        expired = [
             program
-            for program, known in self._waiting.items()
-            if known.due_s + GRACE_SECONDS < now_s
+            for program, waiting in self._waiting.items()
+            if waiting.due_s + GRACE_SECONDS < now_s
         ]
-        for program in past:
+        for program in expired:
             self.remove(program)
 
     def remove(self, program: int) -> None:
-        """Take in that a program was admitted or is given up."""
-        known = self._waiting.pop(program, None)
-        if known is None:
+        """Remove a program that was admitted or whose retry is overdue."""
+        waiting = self._waiting.pop(program, None)
+        if waiting is None:
             return
-        self.by_tenant[known.tenant] -= 1
-        if not self.by_tenant[known.tenant]:
-            del self.by_tenant[known.tenant]
-
-    def standing(self, program: int, is_new: bool, is_over: bool, now_s: float) -> QueuePosition:
-        """Return the place of a program, which may not have been refused before."""
-        known = self._waiting.get(program)
-        if known is None:
-            return QueuePosition(is_new, is_over, False, self._next_number)
-        return QueuePosition(is_new, is_over, now_s >= known.late_from_s, known.number)
+        self.by_tenant[waiting.tenant] -= 1
+        if not self.by_tenant[waiting.tenant]:
+            del self.by_tenant[waiting.tenant]
+
+    def position(
+        self, program: int, is_new: bool, is_over_share: bool, now_s: float
+    ) -> QueuePosition:
+        """Return the position of a program, whether or not it was refused before."""
+        waiting = self._waiting.get(program)
+        if waiting is None:
+            return QueuePosition(is_new, is_over_share, False, self._next_number)
+        return QueuePosition(is_new, is_over_share, now_s >= waiting.late_from_s, waiting.number)
 
     def late_from_s(self, program: int, is_new: bool, finish_in_s: float, now_s: float) -> float:
-        """Return when a program is held to be late.
+        """Return the time from which a program counts as late.
 
-        Infinite if its time is untold, or if it goes on from an answered turn.
+        Infinite if its time is unknown, or if it continues from an answered turn.
         """
-        known = self._waiting.get(program)
-        if known is not None:
-            return known.late_from_s
+        waiting = self._waiting.get(program)
+        if waiting is not None:
+            return waiting.late_from_s
         if finish_in_s <= 0.0 or not is_new:
             return float("inf")
         return now_s + min((1.0 - ON_TIME_SHARE) * finish_in_s, MAX_ON_TIME_SECONDS)
 
     def ahead(
-        self, program: int, standing: QueuePosition, over: set[str], due_by_s: float, now_s: float
+        self, program: int, position: QueuePosition, over: set[str], due_by_s: float, now_s: float
     ) -> ProgramsAhead:
-        """Return the programs that go before one.
+        """Return how many waiting programs come before a given one.
 
-        This is gone through for each question, so it makes no values of its own on the way.
+        Runs for each admission request, so it creates no objects for the waiting programs.
 
-        :param over: tenants with more than their share.
+        :param over: tenants that exceed their share.
+        :param due_by_s: programs to retry by this time are due.
         """
         count = due = due_continued = 0
         is_late_due = False
-        for name, known in self._waiting.items():
+        for name, waiting in self._waiting.items():
             if name == program:
                 continue
-            is_due = known.due_s <= due_by_s
-            is_late = now_s >= known.late_from_s
-            is_over = known.tenant in over
-            is_late_due = is_late_due or (is_due and is_late and not is_over)
-            if known.is_new != standing.is_new:
-                goes_before = standing.is_new
-            elif is_over != standing.is_over:
-                goes_before = standing.is_over
-            elif is_late != standing.is_late:
-                goes_before = standing.is_late
+            is_due = waiting.due_s <= due_by_s
+            is_late = now_s >= waiting.late_from_s
+            is_over_share = waiting.tenant in over
+            is_late_due = is_late_due or (is_due and is_late and not is_over_share)
+            if waiting.is_new != position.is_new:
+                comes_before = position.is_new
+            elif is_over_share != position.is_over_share:
+                comes_before = position.is_over_share
+            elif is_late != position.is_late:
+                comes_before = position.is_late
             else:
-                goes_before = known.number < standing.number
-            if goes_before:
+                comes_before = waiting.number < position.number
+            if comes_before:
                 count += 1
                 due += is_due
-                due_continued += is_due and not known.is_new
+                due_continued += is_due and not waiting.is_new
         return ProgramsAhead(count, due, due_continued, is_late_due)
 
     def note_refused(
         self, program: int, tenant: str, is_new: bool, late_from_s: float, due_s: float
     ) -> None:
-        """Take in that a program was told to come back at a time."""
-        known = self._waiting.get(program)
-        if known is not None:
-            self._waiting[program] = known._replace(due_s=due_s)
+        """Record that a program was refused.
+
+        :param due_s: time at which it was asked to retry.
+        """
+        waiting = self._waiting.get(program)
+        if waiting is not None:
+            self._waiting[program] = waiting._replace(due_s=due_s)
             return
         if len(self._waiting) >= MAX_WAITING:
             return
-        self._waiting[program] = _Waiting(tenant, is_new, self._next_number, late_from_s, due_s)
+        self._waiting[program] = _WaitingProgram(
+            tenant, is_new, self._next_number, late_from_s, due_s
+        )
         self._next_number += 1
         self.by_tenant[tenant] += 1
--- a/yarrowwall/policy/running_averages.py
+++ b/yarrowwall/policy/running_averages.py
@@ -1,30 +1,28 @@
-"""What is usual among the programs and gateways that ask for room at a service. No I/O.
+"""Running averages over the admission requests of one service. No I/O.
 
-Places are shared, so neither the size of one program nor what one gateway believes of the servers
-may decide how many can be taken: whoever had the lower bound would find room only when nobody
-else wants it.
+Capacity is shared. If the size of a single program or the view of a single gateway decided how much
+is free, those with the lowest requirement would always be admitted before the others.
 """
 
 from yarrowwall.messages.capacity import AskRoom
 
-#: Least weight of the newest program in what is usual of programs.
+#: Minimum weight of the newest program in the averages over programs.
 PROGRAM_WEIGHT = 0.02
-#: Times the usual size that a program counts for at most, so that a single one changes little.
+#: Limit on a program's size, as a multiple of the average, so that one program changes it little.
 MAX_SIZE_FACTOR = 4.0
-#: What is held to be the usual time that programs have, before the first.
+#: Seconds that a program has to finish, assumed before the first one is known.
 INITIAL_FINISH_SECONDS = 4.0
-#: Weight of the newest question in what gateways believe of the servers.
+#: Weight of the newest request in the average capacity.
 CAPACITY_WEIGHT = 0.1
-#: Seconds after which what gateways believed before counts no more.
+#: Seconds without a request after which the average capacity starts anew.
 CAPACITY_EXPIRY_SECONDS = 1.0
 
 
 class TypicalProgram:
-    """What is usual among programs.
+    """Averages over programs.
 
-    :ivar finish_in_s: seconds that they have when they ask.
-    :ivar tokens: of the engines' memory that admitted ones are expected to keep; 0 before the
-        first.
+    :ivar finish_in_s: seconds that a program has left when it requests admission.
+    :ivar tokens: cache tokens that admitted programs are expected to need; 0 before the first.
     """
 
     def __init__(self) -> None:
@@ -33,12 +31,12 @@
         self._admitted = 0
 
     def note_asked(self, finish_in_s: float) -> None:
-        """Take in the time that a program has; 0 if untold."""
+        """Include the seconds that a program has left; 0 if unknown."""
         if finish_in_s > 0.0:
             self.finish_in_s += PROGRAM_WEIGHT * (finish_in_s - self.finish_in_s)
 
     def note_admitted(self, tokens: int) -> None:
-        """Take in what an admitted program is expected to keep."""
+        """Include the cache tokens that an admitted program is expected to need."""
         self._admitted += 1
         weight = max(1.0 / self._admitted, PROGRAM_WEIGHT)
         size = min(float(tokens), MAX_SIZE_FACTOR * self.tokens) if self.tokens else float(tokens)
@@ -46,10 +44,10 @@
 
 
 class AverageCapacity:
-    """The servers of a service, as the gateways that asked lately believe on average.
+    """The capacity of a service's servers, averaged over the gateways that asked recently.
 
-    :ivar slots: that sound ones offer.
-    :ivar memory_tokens: that their engines hold.
+    :ivar slots: slots of healthy servers.
+    :ivar memory_tokens: token capacity of their engines' caches.
     """
 
     def __init__(self) -> None:
@@ -58,7 +56,7 @@
         self._asked_at_s = float("-inf")
 
     def note_asked(self, ask: AskRoom, now_s: float) -> None:
-        """Take in what the gateway that asks believes."""
+        """Include the capacity that a gateway sent with its request."""
         weight = CAPACITY_WEIGHT if now_s - self._asked_at_s <= CAPACITY_EXPIRY_SECONDS else 1.0
         self._asked_at_s = now_s
         self.slots += weight * (ask.places - self.slots)
--- a/yarrowwall/policy/server_choice.py
+++ b/yarrowwall/policy/server_choice.py
@@ -1,8 +1,8 @@
-"""Which server gets a request: the one with the least expected time. No I/O.
+"""Chooses the server with the lowest expected time for a request. No I/O.
 
-The time is made up of the load and the pace of a server, what it would have to read of the prompt,
-and the way to it. All gateways of a zone come to the same answer from the same loads, so the
-requests of one program meet at one server without talk among gateways. All costs are seconds.
+The time depends on the server's load and service time, the part of the prompt that it must prefill,
+and the network latency. Given the same loads, all gateways of a zone choose the same server, so the
+requests of one program reach one server without coordination among gateways. All costs are seconds.
 """
 
 from collections.abc import Collection, Sequence
@@ -20,41 +20,41 @@
     recent_service_time_s,
 )
 
-#: Tokens of prompt that an engine reads in a second. Reading holds up all other requests
-#: of the engine, so this is half of what an engine reads for a request alone.
+#: Prompt tokens that an engine prefills per second. Prefill delays all other requests of the
+#: engine, so this is half the rate for a single request.
 PREFILL_TOKENS_PER_SECOND = 130_000.0
-#: Seconds that the way to another zone and back is held to cost.
+#: Assumed cost of a round trip to another zone, in seconds.
 OTHER_ZONE_SECONDS = 0.004
-#: The same for the first turn of a program, whose prompts all go the same way later. It is
-#: more than hashing may decide, so programs begin in their own zone while it has room.
+#: The same for the first turn of a program, whose later prompts all take the same path. It exceeds
+#: the tiebreak seconds, so programs begin in their own zone while it has free slots.
 OTHER_ZONE_FIRST_SECONDS = 0.04
-#: Seconds that each stream, or each lookup, at a server adds for the next one.
+#: Seconds that each stream, or each lookup, at a server adds to the next one.
 STREAM_LOAD_SECONDS = 0.0005
 LOOKUP_LOAD_SECONDS = 0.002
-#: Part of a server's places up to which no request waits, even if the loads that other
-#: gateways told are a little old.
+#: Share of a server's slots up to which no request is queued, even if the loads reported by other
+#: gateways are slightly out of date.
 UNQUEUED_SHARE = 0.75
-#: Seconds that a request is held to keep its place: a stream, and a lookup.
+#: Seconds for which a stream, and a lookup, is assumed to occupy its slot.
 STREAM_SECONDS = 0.4
 LOOKUP_SECONDS = 0.04
-#: Events that a stream is held to have when paces are compared.
+#: Events that a stream is assumed to have when service times are compared.
 EVENTS_PER_STREAM = 10.0
-#: Seconds of difference that hashing may decide, so that gateways agree without talking:
-#: for lookups, which run faster where their object was seen lately, and for streams, whose
-#: program is read anew where it was not seen.
+#: Differences in seconds up to which hashing decides, so that gateways agree without coordination:
+#: for lookups, which are faster where their object was used recently, and for streams, whose prompt
+#: must be prefilled where it is not cached.
 LOOKUP_TIEBREAK_SECONDS = 0.004
 STREAM_TIEBREAK_SECONDS = 0.03
-#: Tokens that a server which ran the turn before is held to read at most.
+#: Maximum number of tokens that the server of the previous turn is assumed to prefill.
 NEW_TOKENS = 1000
-#: Parts of a prompt of which the first is shared among programs.
+#: Minimum number of parts of a prompt for its first part to be shared among programs.
 MIN_SHARED_PARTS = 2
 
 
 class PlacementRequest(NamedTuple):
-    """What speaks for one server or another.
+    """The properties of a request that matter for the choice of a server.
 
-    :param affinity: what all requests that should meet at one server have in common.
-    :param last_server: the incarnation of the server where the program's turn before ran, as
+    :param affinity: hash key, equal for all requests that should reach the same server.
+    :param last_server: incarnation of the server that ran the program's previous turn, as
         :attr:`Incarnation.text`; empty if unknown.
     """
 
@@ -70,7 +70,7 @@
 
 @dataclass
 class Choice:
-    """Why a server was chosen, for the decision log."""
+    """The chosen server, and the inputs of the choice for the decision log."""
 
     server: Server
     cost: float
@@ -93,33 +93,33 @@
         now: float,
         request: PlacementRequest,
     ) -> Choice | None:
-        """Return the server with the least expected time; None if there is none."""
+        """Return the server with the lowest expected time; None without candidates."""
         states = self._directory.candidates(service, tried, now)
         if not states:
             return None
-        usual = median_service_time_s(states, now)
-        # A server that started again holds nothing of the turn before.
+        median_s = median_service_time_s(states, now)
+        # A restarted server has nothing cached of the previous turn.
         incarnations = {state.incarnation_text: state.server.server_id for state in states}
         request = request._replace(last_server=incarnations.get(request.last_server, ""))
-        reading = self._reading(states, request)
+        prefill = self._prefill_tokens(states, request)
         costs = {
-            state.server.server_id: self._cost(state, bool(request.prompt), usual, now)
+            state.server.server_id: self._cost(state, bool(request.prompt), median_s, now)
             + self._preference(state, request)
-            + reading[state.server.server_id] / PREFILL_TOKENS_PER_SECOND
+            + prefill[state.server.server_id] / PREFILL_TOKENS_PER_SECOND
             for state in states
         }
         best = min(states, key=lambda state: costs[state.server.server_id])
         server_id = best.server.server_id
-        cached = request.tokens - reading[server_id]
+        cached = request.tokens - prefill[server_id]
         return Choice(
             best.server, costs[server_id], cached, len(states), self._directory.load(best, now)
         )
 
     def _preference(self, state: ServerState, request: PlacementRequest) -> float:
-        """Return the seconds by which a server is less wanted, load and memory apart.
+        """Return the cost of a server by zone and hash, without its load and cache.
 
-        All gateways of a zone agree on it, so the requests of one program meet at one
-        server, whichever gateways they come through.
+        It is the same at all gateways of a zone, so the requests of one program reach the same
+        server through any of them.
         """
         is_near = state.server.zone == self._directory.zone
         if request.last_server:
@@ -130,8 +130,10 @@
             return far_s + STREAM_TIEBREAK_SECONDS * share
         return (0.0 if is_near else OTHER_ZONE_SECONDS) + LOOKUP_TIEBREAK_SECONDS * share
 
-    def _reading(self, states: Sequence[ServerState], request: PlacementRequest) -> dict[str, int]:
-        """Return the tokens that each server would have to read of a prompt."""
+    def _prefill_tokens(
+        self, states: Sequence[ServerState], request: PlacementRequest
+    ) -> dict[str, int]:
+        """Return the tokens of a prompt that each server would have to prefill."""
         prompt = request.prompt
         found = {
             state.server.server_id: request.tokens - state.prefix_cache.cached_tokens(prompt)
@@ -143,28 +145,28 @@
         own = request.tokens - shared
         self._shared.note(prompt[0])
         if self._shared.fit_into(min(state.prefix_cache.capacity for state in states)):
-            # Every server soon holds what all programs share.
+            # Every server soon has all shared prefixes cached.
             found = {server_id: min(missing, own) for server_id, missing in found.items()}
         if request.last_server:
             found[request.last_server] = min(found[request.last_server], NEW_TOKENS)
         elif min(found.values()) >= own:
-            # Nothing of this program went through this gateway yet. If others saw it,
-            # they sent it where it is wanted most.
+            # This gateway has sent nothing of this program yet. Other gateways would have sent it
+            # to the preferred server.
             home = min(states, key=lambda state: self._preference(state, request))
             found[home.server.server_id] -= own
         return found
 
-    def _cost(self, state: ServerState, is_stream: bool, usual: float, now: float) -> float:
-        """Return the seconds that a server's load and pace are expected to cost."""
+    def _cost(self, state: ServerState, is_stream: bool, median_s: float, now: float) -> float:
+        """Return the expected cost of a server's load and service time in seconds."""
         load = self._directory.load(state, now)
         seconds = load * (STREAM_LOAD_SECONDS if is_stream else LOOKUP_LOAD_SECONDS)
-        ahead = load + 1 - UNQUEUED_SHARE * state.server.slots
-        if ahead > 0:
-            held = STREAM_SECONDS if is_stream else LOOKUP_SECONDS
-            seconds += ahead * held / state.server.slots
-        pace = recent_service_time_s(state, now)
-        if pace is not None:
-            # Paces differ by load and luck; only a server far off the others is slow.
-            excess = max(0.0, pace - SLOW_FACTOR * usual)
+        queued = load + 1 - UNQUEUED_SHARE * state.server.slots
+        if queued > 0:
+            held_s = STREAM_SECONDS if is_stream else LOOKUP_SECONDS
+            seconds += queued * held_s / state.server.slots
+        service_time_s = recent_service_time_s(state, now)
+        if service_time_s is not None:
+            # Service times vary with load and chance; only a server far above the others is slow.
+            excess = max(0.0, service_time_s - SLOW_FACTOR * median_s)
             seconds += excess * (EVENTS_PER_STREAM if is_stream else 1.0)
         return seconds
--- a/yarrowwall/policy/servers.py
+++ b/yarrowwall/policy/servers.py
@@ -1,6 +1,7 @@
-"""The servers as a gateway knows them: which are listed, how busy, how quick, how sound. No I/O.
+"""State of the servers as a gateway knows it: listing, load, service time and failures. No I/O.
 
-Owns what was told and observed of each server; :mod:`yarrowwall.policy.server_choice` chooses.
+Holds what was reported and observed of each server. :mod:`yarrowwall.policy.server_choice` chooses
+among them.
 """
 
 from collections.abc import Callable, Collection, Iterable, Mapping
@@ -12,20 +13,20 @@
 from yarrowwall.policy.incarnations import NewestIncarnations
 from yarrowwall.policy.prefix_cache import PrefixCacheEstimate
 
-#: Seconds after which what other gateways had under way is no longer believed.
+#: Seconds after which the loads reported by other gateways are ignored.
 LOAD_EXPIRY_SECONDS = 1.0
-#: Seconds a server is passed over after it failed, doubled up to the most.
+#: Seconds for which a server is avoided after a failure, doubled with each one up to the maximum.
 SUSPENSION_SECONDS = 0.5
 MAX_SUSPENSION_SECONDS = 4.0
-#: The same after it said that it is full: about as long as one of its requests takes.
+#: The same after a server answered that it is full: about as long as one of its requests takes.
 FULL_SECONDS = 0.1
-#: Weight of the newest observation of a server's pace.
+#: Weight of the newest service time in a server's average.
 SERVICE_TIME_WEIGHT = 0.3
-#: Seconds after which an observed pace is no longer believed.
+#: Seconds after which a server's average service time is ignored.
 SERVICE_TIME_EXPIRY_SECONDS = 4.0
-#: Times the usual pace beyond which a server counts as slow.
+#: Multiple of the median service time above which a server counts as slow.
 SLOW_FACTOR = 2.0
-#: Seconds after a server vanished from the list in which it may serve if no other does.
+#: Seconds for which a server that is draining or no longer listed may serve if no other can.
 VANISHED_SECONDS = 1.5
 
 
@@ -33,10 +34,15 @@
 class ServerState:
     """What this gateway knows of one incarnation of a server.
 
-    :param running: requests of this gateway under way there.
-    :param elsewhere: requests of all other gateways, as they told last.
-    :param service_time_s: ratio of its speed to others'; seconds between events or for a lookup.
-    :ivar incarnation: the one that this is known of, and its text, which each choice looks up.
+    :param prefix_cache: estimate of what the server has cached.
+    :param running: requests of this gateway in progress at the server.
+    :param running_elsewhere: requests of all other gateways, by the last report.
+    :param service_time_s: average seconds between events or for a lookup; None before the first.
+    :param heard_at: time at which the server last sent data to this gateway.
+    :param vanished_at: time at which the server was removed from the list; None while it is listed.
+    :param draining_at: time at which the server began to drain; None if it does not.
+    :ivar incarnation: incarnation that this state belongs to.
+    :ivar incarnation_text: text of the incarnation, kept since every choice looks it up.
     """
 
     server: Server
@@ -54,7 +60,7 @@
     incarnation_text: str = field(init=False)
 
     def __post_init__(self) -> None:
-        """Keep the incarnation, which is the same for as long as the state is."""
+        """Store the incarnation, which never changes for one state."""
         self.incarnation = self.server.incarnation
         self.incarnation_text = self.server.incarnation_text
 
@@ -63,12 +69,12 @@
 class ServerDirectory:
     """All known servers, each by its newest incarnation.
 
-    What is known of an incarnation counts for no other one. Lists, watches and the ends of
-    requests may tell of incarnations in any order.
+    State of one incarnation never applies to another one. Lists, watches and the ends of requests
+    may name incarnations in any order.
 
     :param zone: the gateway's own zone.
-    :ivar on_removed: called with an incarnation of which nothing is kept any more, and with the one
-        that has taken its place, if it is known.
+    :ivar on_removed: called with an incarnation whose state was dropped, and with its successor or
+        None.
     """
 
     zone: str
@@ -76,13 +82,13 @@
     on_removed: Callable[[Incarnation, Incarnation | None], None] = lambda incarnation, successor: (
         None
     )
-    _told_at: float = -LOAD_EXPIRY_SECONDS
+    _loads_at: float = -LOAD_EXPIRY_SECONDS
     _newest: NewestIncarnations = field(default_factory=NewestIncarnations)
 
     def replace_all(
         self, servers: Iterable[Server], services: dict[str, Service], now: float
     ) -> None:
-        """Take in the whole list."""
+        """Replace the list of servers."""
         listed = list(servers)
         names = {server.server_id for server in listed}
         for server_id in list(self.states):
@@ -92,7 +98,7 @@
             self.put(server, services, now)
 
     def put(self, server: Server, services: dict[str, Service], now: float) -> None:
-        """Take in one entry of the list, unless it tells of an incarnation that is over."""
+        """Add or update one entry of the list, unless its incarnation has ended."""
         if not self._newest.note(server.incarnation):
             return
         state = self.states.get(server.server_id)
@@ -110,22 +116,22 @@
             state.draining_at = now
 
     def _end_incarnation(self, state: ServerState, successor: Incarnation | None) -> None:
-        """Forget all that was known of one that is over, its requests under way with it."""
+        """Drop the state of an incarnation that has ended, including its request counts."""
         del self.states[state.server.server_id]
         self.on_removed(state.incarnation, successor)
 
     def update_services(self, services: dict[str, Service]) -> None:
-        """Take in what a configuration says of the engines' memory.
+        """Update the servers' cache sizes from a configuration.
 
-        Servers may be known before the configuration: both are read at once at a start.
+        Servers may be known before the configuration, since both are read concurrently at startup.
         """
         for state in self.states.values():
             state.prefix_cache.resize(_cache_tokens(state.server, services))
 
     def remove(self, incarnation: Incarnation, now: float) -> None:
-        """Take in that an entry is gone, or can't be used.
+        """Record that an entry was removed or cannot be used.
 
-        :param incarnation: which the entry told; one untold stands for whichever is known.
+        :param incarnation: incarnation of the entry; if it has none, any known one is meant.
         """
         state = self.states.get(incarnation.server_id)
         if state is None or state.vanished_at is not None:
@@ -134,14 +140,20 @@
             state.vanished_at = now
 
     def forget_vanished(self, now: float) -> None:
-        """Drop servers that vanished and run nothing of this gateway any more."""
+        """Drop servers that are no longer listed and run no request of this gateway."""
         for state in list(self.states.values()):
-            gone = state.vanished_at is not None and now - state.vanished_at > VANISHED_SECONDS
-            if gone and not state.running:
+            is_expired = (
+                state.vanished_at is not None and now - state.vanished_at > VANISHED_SECONDS
+            )
+            if is_expired and not state.running:
                 self._end_incarnation(state, None)
 
     def candidates(self, service: str, tried: Collection[str], now: float) -> list[ServerState]:
-        """Return the servers that may take a request, the sound ones if there are any."""
+        """Return the servers that may take a request.
+
+        Healthy servers, if there are any; else suspended ones, then those that are draining or no
+        longer listed.
+        """
         known = [
             state
             for state in self.states.values()
@@ -149,54 +161,54 @@
         ]
         listed = [state for state in known if state.vanished_at is None]
         staying = [state for state in listed if state.draining_at is None]
-        sound = [state for state in staying if state.suspended_until <= now]
-        leaving = [state for state in known if _may_still_serve(state, now)]
-        return sound or staying or leaving
+        healthy = [state for state in staying if state.suspended_until <= now]
+        leaving = [state for state in known if _is_within_grace(state, now)]
+        return healthy or staying or leaving
 
     def load(self, state: ServerState, now: float) -> int:
-        """Return the requests under way at a server, of all gateways as far as known."""
-        is_known = now - self._told_at < LOAD_EXPIRY_SECONDS
+        """Return the requests in progress at a server, of all gateways by the last report."""
+        is_known = now - self._loads_at < LOAD_EXPIRY_SECONDS
         return state.running + (state.running_elsewhere if is_known else 0)
 
     def loads_age_s(self, now: float) -> float:
-        """Return the seconds since other gateways' requests were told."""
-        return now - self._told_at
+        """Return the seconds since the loads of other gateways were received."""
+        return now - self._loads_at
 
     # Observations
 
     def running_by_incarnation(self) -> dict[str, int]:
-        """Return this gateway's requests under way by the text of the server's incarnation."""
+        """Return this gateway's requests in progress by text of the server's incarnation."""
         return {
             state.incarnation_text: state.running for state in self.states.values() if state.running
         }
 
     def update_loads(self, running_elsewhere: Mapping[str, int], now: float) -> None:
-        """Take in what all other gateways have under way, by the incarnation's text."""
-        self._told_at = now
+        """Record the requests in progress of all other gateways by text of the incarnation."""
+        self._loads_at = now
         for state in self.states.values():
             state.running_elsewhere = running_elsewhere.get(state.incarnation_text, 0)
 
     def state_of(self, incarnation: Incarnation) -> ServerState | None:
-        """Return what is known of an incarnation; None once it is over."""
+        """Return the state of an incarnation; None if it has ended or is unknown."""
         state = self.states.get(incarnation.server_id)
         return state if state is not None and state.incarnation == incarnation else None
 
     def note_heard(self, incarnation: Incarnation, now: float) -> None:
-        """Note that bytes came from a server."""
+        """Record that a server sent data."""
         state = self.state_of(incarnation)
         if state is not None:
             state.heard_at = now
 
     def last_heard(self, incarnation: Incarnation) -> float:
-        """Return when a server was last heard of on any connection of this gateway."""
+        """Return when a server last sent data on any connection of this gateway."""
         state = self.state_of(incarnation)
         return state.heard_at if state is not None else 0.0
 
     def note_started(self, incarnation: Incarnation) -> ServerState | None:
-        """Note that a request was sent to a server.
+        """Record that a request was sent to a server.
 
-        :returns: where its end is to be noted, whatever incarnation the server is meanwhile; None
-            if this one is over already.
+        :returns: the state in which its end must be counted, even if the server has restarted by
+            then; None if this incarnation has already ended.
         """
         state = self.state_of(incarnation)
         if state is not None:
@@ -204,7 +216,7 @@
         return state
 
     def note_service_time(self, incarnation: Incarnation, seconds: float, now: float) -> None:
-        """Note how long a server took for one event or one lookup."""
+        """Record how long a server took for one event or one lookup."""
         state = self.state_of(incarnation)
         if state is None:
             return
@@ -216,7 +228,7 @@
         state.failures = 0
 
     def note_failure(self, incarnation: Incarnation, now: float) -> None:
-        """Pass a server over for a while after it failed."""
+        """Suspend a server after a failure."""
         state = self.state_of(incarnation)
         if state is None:
             return
@@ -225,7 +237,7 @@
         state.suspended_until = now + pause
 
     def note_full(self, incarnation: Incarnation, now: float) -> None:
-        """Pass a server over for a moment after it said that it is full."""
+        """Suspend a server for a short time after it answered that it is full."""
         state = self.state_of(incarnation)
         if state is not None:
             state.suspended_until = max(state.suspended_until, now + FULL_SECONDS)
@@ -237,19 +249,21 @@
 
 
 def recent_service_time_s(state: ServerState, now: float) -> float | None:
-    """Return the observed pace if it is fresh enough to be believed."""
+    """Return the average service time of a server; None if it has expired."""
     return (
         state.service_time_s if now - state.service_time_at < SERVICE_TIME_EXPIRY_SECONDS else None
     )
 
 
 def median_service_time_s(states: Iterable[ServerState], now: float) -> float:
-    """Return the median of the paces that are believed; 0 if there is none."""
-    paces = [pace for state in states if (pace := recent_service_time_s(state, now)) is not None]
-    return median(paces) if paces else 0.0
+    """Return the median of the servers' recent service times; 0 if there are none."""
+    times_s = [
+        time_s for state in states if (time_s := recent_service_time_s(state, now)) is not None
+    ]
+    return median(times_s) if times_s else 0.0
 
 
-def _may_still_serve(state: ServerState, now: float) -> bool:
-    """Return whether a leaving server may serve for want of any other."""
+def _is_within_grace(state: ServerState, now: float) -> bool:
+    """Return whether a server that is leaving may serve if no other can."""
     since = state.vanished_at if state.vanished_at is not None else state.draining_at
     return since is None or now - since < VANISHED_SECONDS
--- a/yarrowwall/policy/service_capacity.py
+++ b/yarrowwall/policy/service_capacity.py
@@ -1,4 +1,4 @@
-"""The room of a service, measured from what a gateway knows of its servers. No I/O."""
+"""The capacity of a service, computed from what a gateway knows of its servers. No I/O."""
 
 from yarrowwall.model import Service
 from yarrowwall.policy.capacity_forecast import ServiceCapacity
@@ -12,31 +12,31 @@
 
 
 def measure_capacity(directory: ServerDirectory, service: Service, now_s: float) -> ServiceCapacity:
-    """Return a service's places and what is taken of them."""
+    """Return the slots of a service's servers and the load on them."""
     listed = [
         state
         for state in directory.states.values()
         if state.server.service == service.name and state.vanished_at is None
     ]
-    sound = directory.candidates(service.name, (), now_s)
+    healthy = directory.candidates(service.name, (), now_s)
     cache_tokens = service.engine.cache_tokens if service.engine is not None else 0
     return ServiceCapacity(
-        sum(directory.load(state, now_s) for state in sound),
-        round(_places(sound, now_s)),
+        sum(directory.load(state, now_s) for state in healthy),
+        round(_effective_slots(healthy, now_s)),
         sum(directory.load(state, now_s) for state in listed),
         sum(state.server.slots for state in listed),
-        cache_tokens * len(sound),
+        cache_tokens * len(healthy),
         directory.loads_age_s(now_s),
     )
 
 
-def _places(states: list[ServerState], now_s: float) -> float:
-    """Return the places of servers; one that is slow counts for as much less."""
-    usual = median_service_time_s(states, now_s)
-    found = 0.0
+def _effective_slots(states: list[ServerState], now_s: float) -> float:
+    """Return the slots of servers; those of a slow server count for proportionally less."""
+    median_s = median_service_time_s(states, now_s)
+    slots = 0.0
     for state in states:
-        pace = recent_service_time_s(state, now_s)
-        is_slow = pace is not None and pace > SLOW_FACTOR * usual
-        factor = usual / pace if is_slow and pace else 1.0
-        found += state.server.slots * factor
-    return found
+        service_time_s = recent_service_time_s(state, now_s)
+        is_slow = service_time_s is not None and service_time_s > SLOW_FACTOR * median_s
+        factor = median_s / service_time_s if is_slow and service_time_s else 1.0
+        slots += state.server.slots * factor
+    return slots
