--- a/yarrowwall/backoff.py
+++ b/yarrowwall/backoff.py
@@ -1,14 +1,16 @@
-"""Pauses that double with each failure, up to a most."""
+"""Exponential backoff."""
 
-#: Doublings beyond which a pause has reached any most: 2 ** 30 of 0.1 s are three years. The power
-#: itself grows without end and no longer fits a float after 1,023 of them, which is 17 minutes of
-#: an outage in which a read fails each second.
+#: Doublings after which a pause has reached any maximum: 2 ** 30 times 0.1 s are three years.
+#: Without this limit the power overflows a float after 1,023 doublings, which is 17 minutes of an
+#: outage in which a read fails every second.
 MAX_DOUBLINGS = 30
 
 
 def exponential_backoff_s(first_s: float, most_s: float, doublings: int) -> float:
-    """Return a pause in seconds.
+    """Return the pause before the next try, in seconds.
 
-    :param doublings: how often it has doubled: the failures before this one.
+    :param first_s: pause after the first failure.
+    :param most_s: maximum pause.
+    :param doublings: number of failures before the last one.
     """
     return min(first_s * 2.0 ** min(doublings, MAX_DOUBLINGS), most_s)
--- a/yarrowwall/capacity/__init__.py
+++ b/yarrowwall/capacity/__init__.py
@@ -1,5 +1,5 @@
-"""What gateways tell one another of load and room, over boards on the replicas.
+"""Exchange of loads and admission decisions among gateways, through boards on the replicas.
 
-A gateway reports its requests and programs under way to one replica of its zone and asks it for
-everybody's. Which programs may begin is decided in :mod:`yarrowwall.policy`.
+A gateway reports its active requests and programs to one replica and receives the sums over the
+other gateways. Which programs may begin is decided in :mod:`yarrowwall.policy`.
 """
--- a/yarrowwall/capacity/admission_client.py
+++ b/yarrowwall/capacity/admission_client.py
@@ -1,4 +1,4 @@
-"""The gateway's side of room: asks a replica about new programs while servers are scarce."""
+"""Requests admission of new programs from a replica while servers are scarce."""
 
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
@@ -18,14 +18,14 @@
 from yarrowwall.ports.admission import AdmissionControl, NewProgram
 from yarrowwall.refusals import unavailable
 
-#: How a refusal for want of room begins.
+#: Prefix of the reason of a refusal for lack of capacity.
 NO_CAPACITY = "no room for"
 
 
 class AdmissionClient(AdmissionControl):
-    """Room for the programs of one gateway.
+    """Admission of the programs of one gateway.
 
-    :param under_way: counts this gateway's programs; the reporter tells of them.
+    :param active: counts this gateway's active programs, which the reporter reports.
     :param now: the monotonic clock.
     """
 
@@ -33,33 +33,34 @@
         self,
         directory: ServerDirectory,
         reporter: LoadReporter,
-        under_way: ActivePrograms,
+        active: ActivePrograms,
         log: DecisionLog,
         now: Callable[[], float],
     ) -> None:
         self._directory = directory
         self._reporter = reporter
-        self._under_way = under_way
+        self._active = active
         self._log = log
         self._now = now
-        self._own = LocalAdmission()
+        self._local = LocalAdmission()
 
     def request_admission(self, new: NewProgram) -> None:
-        """Ask whether a new program may begin.
+        """Request admission of a new program.
 
-        A replica is asked only while half of the places are taken, so ordinary load costs nothing.
+        A replica is asked only while at least half of the slots are in use, so that ordinary load
+        causes no requests.
 
-        :raises RefusedError: if there is no room for it.
+        :raises RefusedError: if there is no capacity for it.
         """
         now_s = self._now()
-        room = measure_capacity(self._directory, new.service, now_s)
-        is_known = room.age_s <= MAX_LOADS_AGE_SECONDS
-        if is_known and room.is_open:
+        capacity = measure_capacity(self._directory, new.service, now_s)
+        is_recent = capacity.age_s <= MAX_LOADS_AGE_SECONDS
+        if is_recent and capacity.is_open:
             return
-        ask = self._question(new, room, now_s)
-        reply = self._reporter.query_admission(ask) if is_known else None
+        ask = self._request(new, capacity, now_s)
+        reply = self._reporter.query_admission(ask) if is_recent else None
         if reply is None:
-            reply = self._decide_alone(ask, room)
+            reply = self._decide_alone(ask, capacity)
         self._note_decided(new.attempt, ask, reply)
         if not reply.is_admitted:
             begun = "a conversation" if new.is_continued else "a new program"
@@ -68,30 +69,30 @@
             raise unavailable(reason, reply.retry_after_s)
 
     def cancel_admission(self, new: NewProgram) -> None:
-        """Give back the room of a program that its tenant's limit refused."""
+        """Withdraw the admission of a program that its tenant's limit refused."""
         attempt = new.attempt
-        told = ReturnRoom(new.service.name, attempt.tenant, _program_key(attempt))
-        self._reporter.send_cancellation(told)
+        message = ReturnRoom(new.service.name, attempt.tenant, _program_key(attempt))
+        self._reporter.send_cancellation(message)
 
     @contextmanager
     def track_turn(self, attempt: Attempt, service: Service | None) -> Iterator[None]:
-        """Count a turn as under way until the context is left."""
+        """Count a turn as active until the context is left."""
         if service is None or service.engine is None or attempt.program is None:
             yield
             return
         program = _program_key(attempt)
-        self._under_way.begin_turn(program, service.name, _own_tokens(attempt), self._now())
+        self._active.begin_turn(program, service.name, _own_tokens(attempt), self._now())
         try:
             yield
         finally:
-            self._under_way.end_turn(program, self._now())
+            self._active.end_turn(program, self._now())
 
-    def _question(self, new: NewProgram, room: ServiceCapacity, now_s: float) -> AskRoom:
+    def _request(self, new: NewProgram, capacity: ServiceCapacity, now_s: float) -> AskRoom:
         attempt = new.attempt
         limit, program = attempt.limit, attempt.program
         finish_at = program.finish_at if program is not None else None
-        # A program's prompt grows by about its first one with each turn, but for the history that a
-        # conversation brings with it.
+        # With each turn the prompt grows by about the size of the first one, without the history
+        # that a continued conversation includes.
         first = _own_tokens(attempt)
         growth = _new_tokens(attempt) if new.is_continued else first
         tokens = round(first + growth * (new.turns - 1.0) / 2.0)
@@ -101,23 +102,23 @@
             _program_key(attempt),
             limit.rate_per_s if limit is not None else 0.0,
             tokens,
-            room.requests,
-            room.age_s,
-            room.slots,
-            room.memory_tokens,
+            capacity.requests,
+            capacity.age_s,
+            capacity.slots,
+            capacity.memory_tokens,
             finish_at - now_s if finish_at is not None else 0.0,
             caller_patience_s(attempt.deadline - now_s),
             new.is_continued,
         )
 
-    def _decide_alone(self, ask: AskRoom, room: ServiceCapacity) -> RoomReply:
+    def _decide_alone(self, ask: AskRoom, capacity: ServiceCapacity) -> RoomReply:
         own = sum(
             state.running
             for state in self._directory.states.values()
             if state.server.service == ask.service
         )
         reporters = self._reporter.reporters
-        is_admitted = self._own.admits(room, own, reporters, self._now(), ask.is_continued)
+        is_admitted = self._local.admits(capacity, own, reporters, self._now(), ask.is_continued)
         wait_s = after_unknown_capacity_s(ask.patience_s, ask.program)
         scarce = Scarce.NOTHING if is_admitted else Scarce.PLACES
         return RoomReply(is_admitted, wait_s, scarce, 0.0, 0, 0, "", 0.0)
@@ -148,21 +149,21 @@
 
 
 def _program_key(attempt: Attempt) -> int:
-    """Return a number for an attempt's program, as one of its tenant's."""
+    """Return a hash of an attempt's tenant and program."""
     name = attempt.program.program_id if attempt.program is not None else attempt.attempt_id
     return digest_int63(attempt.tenant, name)
 
 
 def _new_tokens(attempt: Attempt) -> int:
-    """Return the tokens that a turn adds to the prompts before it."""
+    """Return the tokens that a turn adds to the previous prompts."""
     return attempt.prompt[-1].tokens if attempt.prompt else 0
 
 
 def _own_tokens(attempt: Attempt) -> int:
-    """Return the tokens of a prompt that engines keep for its program alone.
+    """Return the tokens of a prompt that are cached for its program alone.
 
-    Its first part is shared with other programs, but only within a tenant where there are any, and
-    of one tenant seldom two programs meet at an engine.
+    The first part is shared with other programs. Programs of different tenants share nothing, and
+    two programs of one tenant rarely use the same engine, so with tenants all tokens count.
     """
     tokens = sum(part.tokens for part in attempt.prompt)
     is_shared = len(attempt.prompt) > 1 and not attempt.tenant
--- a/yarrowwall/capacity/load_reports.py
+++ b/yarrowwall/capacity/load_reports.py
@@ -1,12 +1,12 @@
-"""Telling a replica what this gateway has under way, and learning what all others have.
+"""Reports this gateway's load to a replica and fetches the loads of all others.
 
-Without it a gateway sees only its own requests, and all gateways together fill one
-server while another stands idle. All report to the same replica as long as it
-answers, so its sums are whole.
+Without it a gateway would know only its own requests, and the gateways together would
+fill one server while another is idle. All report to the same replica as long as it
+answers, so its sums are complete.
 
-Sums that are older than a turn lasts are worse than none: all gateways choose the same
-idle engine by them. So each turn asks for them while its reservation is made, and tells of
-its start and end at once; in between, gateways report now and then.
+Sums that are older than the duration of a turn are worse than none, since all gateways then
+choose the same idle engine. So each turn requests them while its reservation is made, and
+reports its start and end at once. In between, gateways report at intervals.
 """
 
 from collections.abc import Callable
@@ -24,49 +24,50 @@
 from yarrowwall.replication.group_views import GroupViews
 from yarrowwall.replication.rpc import LinkTable
 
-#: Seconds that a replica may take to answer a report.
+#: Timeout of a report in seconds.
 REPORT_TIMEOUT_SECONDS = 0.15
-#: Seconds that a new program waits to be told whether there is room for it; after that its gateway
-#: decides alone. Answers take a way to and fro, 5 ms where machines are not slow.
+#: Seconds that a new program waits for an admission decision; after that its gateway decides alone.
+#: An answer takes one round trip, 5 ms unless machines are slow.
 ADMISSION_TIMEOUT_SECONDS = 0.06
-#: Seconds that a turn waits for the answer beyond its reservation, which takes as many ways
-#: to and fro. Old sums are not worth more.
+#: Seconds that a turn waits for the loads after its reservation is made, which takes as many round
+#: trips. A longer wait would cost more than choosing by old sums.
 LOADS_TIMEOUT_SECONDS = 0.02
-#: Seconds for which a replica that did not answer is passed over.
+#: Seconds for which a replica that did not answer is skipped.
 REPLICA_SUSPENSION_SECONDS = 5.0
-#: Seconds between looks for something to report while nothing is under way. Each is a
-#: wake-up of a process that has nothing else to do.
+#: Seconds between checks for a load to report while no request is in progress. Each check
+#: wakes an otherwise idle process.
 IDLE_POLL_SECONDS = 0.2
 
 
-class _Exchange(PendingLoads):
-    """A report whose answer is under way.
+class _PendingReport(PendingLoads):
+    """A report whose answer is pending.
 
-    :param take: called with the answer.
+    :param on_reply: called with the answer.
     """
 
-    def __init__(self, take: Callable[[LoadReply], None]) -> None:
-        self._take = take
+    def __init__(self, on_reply: Callable[[LoadReply], None]) -> None:
+        self._on_reply = on_reply
         self._arrived = Event()
 
     def complete(self, reply: object | None) -> None:
-        """Take in the answer; None if there is none."""
+        """Process the answer; None if there is none."""
         if isinstance(reply, LoadReply):
-            self._take(reply)
+            self._on_reply(reply)
         if not self._arrived.ready():
             self._arrived.send(reply)
 
     def wait(self) -> None:
-        """Wait for the answer, no longer than it is worth."""
+        """Wait for the answer for at most ``LOADS_TIMEOUT_SECONDS``."""
         self._arrived.wait(LOADS_TIMEOUT_SECONDS)
 
 
 class LoadReporter(LoadSource):
-    """Exchanges loads with a replica, again and again.
+    """Exchanges loads with a replica at intervals.
 
     :param node_id: name of this gateway.
     :param now: the monotonic clock.
-    :param programs: this gateway's programs.
+    :param programs: this gateway's active programs.
+    :ivar reporters: number of gateways that report, by the last answer.
     """
 
     def __init__(
@@ -85,11 +86,11 @@
         self._views = views
         self._links = links
         self._now = now
-        self._passed_over_until: dict[str, float] = {}
+        self._suspended_until: dict[str, float] = {}
         self._has_reported = False
 
     def start(self) -> None:
-        """Begin to report."""
+        """Start reporting."""
         eventlet.spawn_n(self._run)
 
     def _run(self) -> None:
@@ -102,41 +103,39 @@
             eventlet.sleep(self.exchange(running))
 
     def exchange(self, running: dict[str, int]) -> float:
-        """Report once and take in the answer.
+        """Report once and record the loads in the answer.
 
-        :returns: the seconds after which to report again.
+        :returns: seconds after which to report again.
         """
-        member = self._board()
+        member = self._board_member()
         if member is None:
             return MIN_INTERVAL_SECONDS
         report = self._report(running)
         try:
             reply = self._links.get(member.address).call(report, REPORT_TIMEOUT_SECONDS)
         except LinkDownError:
-            self._passed_over_until[member.disk_id] = self._now() + REPLICA_SUSPENSION_SECONDS
+            self._suspended_until[member.disk_id] = self._now() + REPLICA_SUSPENSION_SECONDS
             return MIN_INTERVAL_SECONDS
         if not isinstance(reply, LoadReply):
             return MIN_INTERVAL_SECONDS
-        self._take(reply)
+        self._record_loads(reply)
         return reply.interval_s
 
     def request_loads(self) -> PendingLoads:
-        """Begin to ask what all others have under way; the directory takes the answer in."""
-        member = self._board()
+        """Request the loads of all other gateways, to be recorded in the directory."""
+        member = self._board_member()
         if member is None:
             return NoPendingLoads()
-        exchange = _Exchange(self._take)
+        pending = _PendingReport(self._record_loads)
         link = self._links.get(member.address)
-        number = link.post(
-            self._report(self._directory.running_by_incarnation()), exchange.complete
-        )
-        # A late answer is still news; one that never comes must not be kept for ever.
+        number = link.post(self._report(self._directory.running_by_incarnation()), pending.complete)
+        # A late answer is still recorded; the callback must not be kept if none arrives.
         eventlet.spawn_after(REPORT_TIMEOUT_SECONDS, link.forget, number, is_late=True)
-        return exchange
+        return pending
 
     def report_loads(self) -> None:
-        """Tell what this gateway has under way now."""
-        member = self._board()
+        """Report this gateway's current load without waiting for an answer."""
+        member = self._board_member()
         if member is None:
             return
         running = self._directory.running_by_incarnation()
@@ -151,32 +150,32 @@
     def _services(self) -> list[ServiceUnderWay]:
         return [ServiceUnderWay(*own) for own in self._programs.by_service(self._now())]
 
-    def query_admission(self, question: AskRoom) -> RoomReply | None:
-        """Return whether a new program may begin; None if no replica says so in time."""
-        member = self._board()
+    def query_admission(self, request: AskRoom) -> RoomReply | None:
+        """Return the decision on a new program; None if no replica answers in time."""
+        member = self._board_member()
         if member is None:
             return None
         try:
-            reply = self._links.get(member.address).call(question, ADMISSION_TIMEOUT_SECONDS)
+            reply = self._links.get(member.address).call(request, ADMISSION_TIMEOUT_SECONDS)
         except LinkDownError:
             return None
         return reply if isinstance(reply, RoomReply) else None
 
-    def send_cancellation(self, told: ReturnRoom) -> None:
-        """Tell that a program which was admitted did not begin."""
-        member = self._board()
+    def send_cancellation(self, message: ReturnRoom) -> None:
+        """Report that an admitted program did not begin."""
+        member = self._board_member()
         if member is not None:
-            self._links.get(member.address).tell(told)
+            self._links.get(member.address).tell(message)
 
-    def _take(self, reply: LoadReply) -> None:
+    def _record_loads(self, reply: LoadReply) -> None:
         self.reporters = reply.reporters
-        elsewhere = dict(zip(reply.servers, reply.running, strict=True))
-        self._directory.update_loads(elsewhere, self._now())
+        running_elsewhere = dict(zip(reply.servers, reply.running, strict=True))
+        self._directory.update_loads(running_elsewhere, self._now())
 
-    def _board(self) -> Member | None:
-        """Return the replica that takes the reports of all gateways."""
+    def _board_member(self) -> Member | None:
+        """Return the replica that all gateways report to; None if all are suspended."""
         now_s = self._now()
         for member in self._views.board():
-            if self._passed_over_until.get(member.disk_id, 0.0) <= now_s:
+            if self._suspended_until.get(member.disk_id, 0.0) <= now_s:
                 return member
         return None
--- a/yarrowwall/hashing.py
+++ b/yarrowwall/hashing.py
@@ -1,11 +1,11 @@
-"""Hashing that is the same in every process: rendezvous hashing and digests."""
+"""Rendezvous hashing and digests with the same results in every process."""
 
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
 import xxhash
 
-#: Steps of a fraction that is told by a number; of a second, each is a millisecond.
+#: Steps of a fraction derived from a number; of one second, each is about a millisecond.
 _FRACTION_STEPS = 1024
 
 
@@ -15,7 +15,7 @@
 
 
 def rank(key: str, candidates: Iterable[str]) -> list[str]:
-    """Return the candidates by falling rendezvous score, ties by name."""
+    """Return the candidates by descending rendezvous score, ties by name."""
     return sorted(candidates, key=lambda candidate: (-score(key, candidate), candidate))
 
 
@@ -25,7 +25,7 @@
 
 
 def digest(*parts: str) -> str:
-    """Return a 128-bit digest of texts as hexadecimal."""
+    """Return a 128-bit digest of strings in hexadecimal."""
     hasher = xxhash.xxh3_128()
     for part in parts:
         encoded = part.encode()
@@ -35,26 +35,26 @@
 
 
 def fraction(*parts: str) -> float:
-    """Return a number in [0, 1) fixed by the parts; spreads timers without a random source."""
+    """Return a number in [0, 1) determined by the parts, as jitter without a random source."""
     return xxhash.xxh3_64_intdigest("\x00".join(parts).encode()) / 2.0**64
 
 
 def digest_int63(*parts: str) -> int:
-    """Return a number of 63 bits fixed by the parts, which fits a field of a message."""
+    """Return a 63-bit digest of strings, which fits an integer field of a message."""
     return int(digest(*parts)[:16], 16) >> 1
 
 
 def fraction_of_digest(number: int) -> float:
-    """Return a number in [0, 1) fixed by the low bits of a digest; spreads what it names."""
+    """Return a number in [0, 1) determined by the low bits of a digest, as jitter."""
     return number % _FRACTION_STEPS / _FRACTION_STEPS
 
 
 @dataclass(frozen=True)
 class PrefixBlock:
-    """One block of a prompt, named by a hash of everything up to its end.
+    """One block of a prompt, identified by a hash of the prompt up to its end.
 
     :param key: equal keys mean equal prompts up to and including this block.
-    :param tokens: tokens in this block alone.
+    :param tokens: tokens of this block alone.
     """
 
     key: str
--- a/yarrowwall/ports/admission.py
+++ b/yarrowwall/ports/admission.py
@@ -1,4 +1,4 @@
-"""Room for programs, as a gateway asks for it."""
+"""Interface through which a gateway requests admission of new programs."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Iterator
@@ -9,10 +9,10 @@
 
 
 class NewProgram(NamedTuple):
-    """A program whose first turn has come.
+    """A program whose first turn has arrived.
 
-    :param turns: that it is expected to have.
-    :param is_continued: whether it goes on from an answered turn, perhaps of another program.
+    :param turns: expected number of turns.
+    :param is_continued: whether it continues from an answered turn, possibly of another program.
     """
 
     attempt: Attempt
@@ -22,20 +22,20 @@
 
 
 class AdmissionControl(ABC):
-    """Says which new programs may begin, and learns of those under way."""
+    """Decides which new programs may begin, and counts the active ones."""
 
     @abstractmethod
     def request_admission(self, new: NewProgram) -> None:
-        """Ask whether a new program may begin.
+        """Request admission of a new program.
 
-        :raises RefusedError: if there is no room for it.
+        :raises RefusedError: if there is no capacity for it.
         """
 
     @abstractmethod
     def cancel_admission(self, new: NewProgram) -> None:
-        """Note that a program for which there was room was refused for another reason."""
+        """Withdraw the admission of a program that was refused for another reason."""
 
     @abstractmethod
     @contextmanager
     def track_turn(self, attempt: Attempt, service: Service | None) -> Iterator[None]:
-        """Count a turn as under way until the context is left."""
+        """Count a turn as active until the context is left."""
--- a/yarrowwall/ports/loads.py
+++ b/yarrowwall/ports/loads.py
@@ -1,30 +1,30 @@
-"""What all other gateways have under way, as a gateway asks for it."""
+"""Interface through which a gateway reports its load and requests those of other gateways."""
 
 from abc import ABC, abstractmethod
 
 
 class PendingLoads(ABC):
-    """A question for the loads of all gateways that is under way."""
+    """A pending request for the loads of all gateways."""
 
     @abstractmethod
     def wait(self) -> None:
-        """Wait for the answer, no longer than it is worth."""
+        """Wait for the answer for a short time."""
 
 
 class LoadSource(ABC):
-    """Tells of this gateway's requests and learns of all others'."""
+    """Reports this gateway's load and fetches the loads of all others."""
 
     @abstractmethod
     def request_loads(self) -> PendingLoads:
-        """Begin to ask what all others have under way; the directory takes the answer in."""
+        """Request the loads of all other gateways, to be recorded in the directory."""
 
     @abstractmethod
     def report_loads(self) -> None:
-        """Tell what this gateway has under way now."""
+        """Report this gateway's current load without waiting for an answer."""
 
 
 class NoPendingLoads(PendingLoads):
-    """Stands for a question that nobody could be asked."""
+    """The result of a request that no replica could be sent."""
 
     def wait(self) -> None:
         """Return at once."""
--- a/yarrowwall/quorum.py
+++ b/yarrowwall/quorum.py
@@ -1,4 +1,4 @@
-"""Quorum arithmetic, in one place.
+"""Quorum arithmetic.
 
 A replica group is the set of replica ids that must form a majority. While a
 shard map changes, a decision needs a majority of the old and of the new group
@@ -7,7 +7,7 @@
 
 from collections.abc import Collection, Sequence
 
-#: Replicas of one program, one a zone where there are enough zones.
+#: Replicas of each program, one per zone if there are enough zones.
 REPLICAS_PER_SHARD = 3
 
 
