--- a/yarrowwall/decisions.py
+++ b/yarrowwall/decisions.py
@@ -1,7 +1,7 @@
-"""Decision events of the direct path, one log line each.
+"""Decision events of a machine, each of which is one log line.
 
-Every event names what was decided and the inputs that decided it. Lines go to
-standard output; above a rate, lines of one kind are left out and counted.
+Every event contains the decision and the inputs that led to it. Lines go to
+standard output. Above a rate, lines of one kind are left out and counted.
 """
 
 import time
@@ -13,30 +13,31 @@
 import msgspec
 from eventlet import patcher
 
-# eventlet's own ``os.write`` waits where the kernel's would block.
+# eventlet's ``os.write`` waits where the kernel's would block.
 _os = patcher.original("os")
 
 _ENCODER = msgspec.json.Encoder(enc_hook=str)
 
-#: Lines of one kind written in a second before lines are left out, unless the kind has its own.
+#: Maximum lines of one kind per second, unless the kind has its own limit; further ones are left
+#: out.
 LINES_PER_SECOND = 200
 
 
 class Decision(msgspec.Struct, frozen=True):
-    """Base of the events; ``kind`` is the class's name.
+    """Base class of the events; the class's name is the ``kind`` of the line.
 
-    :cvar lines_per_second: lines of this kind that are written in a second.
+    :cvar lines_per_second: maximum lines of this kind per second.
     """
 
     lines_per_second: ClassVar[int] = LINES_PER_SECOND
 
 
 class AttemptAdmitted(Decision, frozen=True):
-    """A caller's attempt was read and has a route.
+    """A caller's attempt was read and matched to a route.
 
-    :param configuration_age: seconds since the configuration was proved to be the newest.
-    :param finish_in: seconds left to its program; None if untold.
-    :param previous: the turn that it goes on from; empty for none.
+    :param configuration_age: seconds since the configuration was last proved to be the newest.
+    :param finish_in: seconds until its program's deadline; None if not given.
+    :param previous: the turn that it continues from; empty for none.
     """
 
     attempt: str
@@ -54,8 +55,8 @@
 class AttemptSent(Decision, frozen=True):
     """An attempt was sent to a server.
 
-    :param load: requests under way there, of all gateways as far as known.
-    :param rank: how urgent it is for the server, 0 is the most urgent.
+    :param load: requests of all gateways in progress there, by the last report.
+    :param rank: priority at the server, where 0 is the most urgent.
     """
 
     attempt: str
@@ -71,7 +72,7 @@
 
 
 class SendFailed(Decision, frozen=True):
-    """A sending brought no answer that can be passed on."""
+    """A send to a server produced no answer that can be forwarded."""
 
     attempt: str
     server: str
@@ -80,11 +81,11 @@
 
 
 class AttemptAnswered(Decision, frozen=True):
-    """A server's answer was handed over whole, to be written to its caller.
+    """A server's complete answer was handed over to be written to its caller.
 
-    A line behind it, ``ConnectionEnded`` or ``CallerGivenUp``, tells if the caller did not take it.
+    If the caller does not receive it, a ``ConnectionEnded`` or ``CallerGivenUp`` line follows.
 
-    :param first_seconds: until its first event; None for an answer without events.
+    :param first_seconds: seconds until its first event; None for an answer without events.
     """
 
     attempt: str
@@ -96,7 +97,7 @@
 
 
 class AttemptRefused(Decision, frozen=True):
-    """A caller got an answer of the gateway's own."""
+    """The gateway itself refused an attempt."""
 
     attempt: str
     status: int
@@ -105,7 +106,7 @@
 
 
 class AnswerBrokenOff(Decision, frozen=True):
-    """An answer was cut because it can not be completed."""
+    """An answer was cut off because it cannot be completed."""
 
     attempt: str
     reason: str
@@ -113,10 +114,10 @@
 
 
 class CallerLeft(Decision, frozen=True):
-    """A caller closed its connection; its request was cancelled.
+    """A caller closed its connection, and its request was cancelled.
 
-    :param how: what was noticed. A caller that only ended its sending side can't be told
-        from one that closed its connection.
+    :param how: how this was detected. A caller that only shut down its sending side cannot be
+        distinguished from one that closed its connection.
     """
 
     attempt: str
@@ -125,10 +126,10 @@
 
 
 class CallerGivenUp(Decision, frozen=True):
-    """A caller took nothing of its answer, or sent nothing of its request, for too long.
+    """A caller read nothing of its answer, or sent nothing of its request, for too long.
 
-    :param seconds: since it was given something, or since its request began.
-    :param held: bytes that were held for it.
+    :param seconds: seconds since data was last offered to it, or since its request began.
+    :param held: bytes that were buffered for it.
     """
 
     attempt: str
@@ -137,13 +138,13 @@
 
 
 class ConnectionEnded(Decision, frozen=True):
-    """A caller's connection ended before its answer, for a reason that no other line tells.
+    """A caller's connection ended before its answer, for a reason that no other line states.
 
-    :param attempt: empty if the request's head was not read.
+    :param attempt: id of the attempt; empty if the request's head was not read.
     :param reason: an :class:`EndReason`.
-    :param seconds: since the request began.
-    :param events: events of a stream that were passed on.
-    :param detail: the error behind it; empty for none.
+    :param seconds: seconds since the request began.
+    :param events: events of a stream that were forwarded.
+    :param detail: the underlying error; empty for none.
     """
 
     attempt: str
@@ -154,9 +155,10 @@
 
 
 class InternalFault(Decision, frozen=True):
-    """A fault of the program itself ended a request.
+    """An unexpected exception ended a request.
 
-    :param attempt: the caller's; empty if it was another machine's request or answer.
+    :param attempt: id of the caller's attempt; empty for a request or answer of another machine.
+    :param trace: the traceback.
     """
 
     attempt: str
@@ -164,7 +166,7 @@
 
 
 class BudgetDecided(Decision, frozen=True):
-    """Tokens were reserved for a turn, or not."""
+    """Tokens were reserved for a turn, or the reservation was refused."""
 
     attempt: str
     program: str
@@ -175,7 +177,7 @@
 
 
 class BudgetSettled(Decision, frozen=True):
-    """A turn's reservation was replaced by what it emitted."""
+    """A turn's reservation was settled to the tokens that it emitted."""
 
     attempt: str
     program: str
@@ -183,13 +185,13 @@
 
 
 class PartsAsked(Decision, frozen=True):
-    """A turn asked more than its program's common group for tokens, or could not ask that.
+    """A turn asked for tokens of zones' parts, or its program's common group was unreachable.
 
-    :param verdict: what became of it.
-    :param common_tokens: tokens taken of the common part.
-    :param zone_tokens: tokens taken of zones' parts.
-    :param unreachable: groups that could not be asked.
-    :param is_alone: whether the common group was among these.
+    :param verdict: the decision.
+    :param common_tokens: tokens reserved of the common part.
+    :param zone_tokens: tokens reserved of zones' parts.
+    :param unreachable: groups that could not be reached.
+    :param is_alone: whether the common group could not be reached.
     """
 
     attempt: str
@@ -201,9 +203,9 @@
 
 
 class GroupReachChanged(Decision, frozen=True):
-    """A group of replicas fell out of reach of this gateway, or is back.
+    """A group of replicas became unreachable for this gateway, or reachable again.
 
-    :param seconds: for how long it was out of reach.
+    :param seconds: seconds for which it was unreachable.
     """
 
     group: int
@@ -212,18 +214,18 @@
 
 
 class TurnKeptInZone(Decision, frozen=True):
-    """A turn was kept in the own zone's group, since its common group was out of reach."""
+    """A turn was stored in the own zone's group, since its common group was unreachable."""
 
     attempt: str
     group: int
 
 
 class TurnKeptLate(Decision, frozen=True):
-    """The end of an answer had to wait until its turn was stored.
+    """The end of an answer was delayed until its turn was stored.
 
-    :param group: that took it.
-    :param seconds: how long the end waited.
-    :param tries: writes to any group.
+    :param group: group that stored it.
+    :param seconds: seconds of delay.
+    :param tries: number of writes to any group.
     """
 
     attempt: str
@@ -233,14 +235,14 @@
 
 
 class TurnCopied(Decision, frozen=True):
-    """A turn that a zone's group kept was copied into its common group."""
+    """A turn stored in a zone's group was copied to its common group."""
 
     attempt: str
     group: int
 
 
 class ChainLookedUp(Decision, frozen=True):
-    """The earlier turns of a conversation were looked for."""
+    """The earlier turns of a conversation were looked up."""
 
     attempt: str
     previous: str
@@ -249,7 +251,7 @@
 
 
 class ConfigurationInForce(Decision, frozen=True):
-    """A newer configuration took effect."""
+    """A newer configuration came into force."""
 
     version: int
     routes: int
@@ -257,7 +259,7 @@
 
 
 class KeysChanged(Decision, frozen=True):
-    """A configuration gave keys to a tenant or took some away; keys by fingerprint."""
+    """A configuration added or revoked keys of a tenant; keys are given by fingerprint."""
 
     version: int
     tenant: str
@@ -266,7 +268,7 @@
 
 
 class ServerChanged(Decision, frozen=True):
-    """A server was listed, started again, is leaving or is gone."""
+    """A server was listed, restarted, is draining or was removed."""
 
     server: str
     service: str
@@ -274,10 +276,10 @@
 
 
 class EntryRefused(Decision, frozen=True):
-    """An entry of the list of servers names no server to use.
+    """An entry of the list of servers was rejected.
 
     :param fault: an :class:`EntryFault`.
-    :param detail: the field or the other server that it is about.
+    :param detail: the field or the other server that the fault concerns.
     """
 
     server: str
@@ -286,7 +288,7 @@
 
 
 class DependencyChanged(Decision, frozen=True):
-    """A dependency was lost or is back."""
+    """A dependency became unavailable or available again."""
 
     dependency: str
     is_up: bool
@@ -294,7 +296,7 @@
 
 
 class GroupChanged(Decision, frozen=True):
-    """A replica group took a new epoch."""
+    """A replica group began a new epoch."""
 
     group: int
     epoch: int
@@ -303,7 +305,7 @@
 
 
 class GroupLost(Decision, frozen=True):
-    """A common group has lost all copies of its records; nothing brings them back.
+    """A common group has permanently lost all copies of its records.
 
     :param members: the machines whose disks held them.
     """
@@ -314,17 +316,17 @@
 
 
 class LendingChanged(Decision, frozen=True):
-    """A replica lends its part of tenants' limits from now on, or no more."""
+    """A replica began or stopped issuing permits from its share of the tenants' limits."""
 
     epoch: int
     lends: bool
 
 
 class QuotaRefused(Decision, frozen=True):
-    """No replica had room in a tenant's limit.
+    """An attempt was refused because its tenant's limit is used up at all replicas.
 
-    :param asked: replicas that were asked.
-    :param begins: whether it is a new program that was not welcome.
+    :param asked: number of replicas that were asked.
+    :param begins: whether a new program was refused.
     """
 
     attempt: str
@@ -335,17 +337,20 @@
 
 
 class RoomDecided(Decision, frozen=True):
-    """A new program came while half of the places or more were taken, and may begin or not.
-
-    :param scarce: what was lacking.
-    :param taken: requests under way at the service, as this gateway was told ``age`` s before.
-    :param free: programs that there was room for.
-    :param waiting: programs that were refused and may come back.
-    :param ahead: those of them that go before this one.
-    :param holder: the tenant with most programs admitted in the last seconds.
-    :param tokens: of the engines' memory that the program is expected to keep.
-    :param memory_tokens: that the engines hold.
-    :param is_continued: whether the program goes on from an answered turn.
+    """A new program was admitted or refused while at least half of the slots were in use.
+
+    :param scarce: the scarce resource.
+    :param retry_after: seconds after which the caller should retry.
+    :param taken: requests in progress at the service, by loads received ``age`` seconds before.
+    :param places: slots of the service's healthy servers.
+    :param free: number of programs that there was capacity for.
+    :param waiting: number of refused programs that may retry.
+    :param ahead: how many of these come before this one.
+    :param holder: the tenant with the most programs admitted in the last seconds.
+    :param holder_share: its share of them.
+    :param tokens: cache tokens that the program is expected to need.
+    :param memory_tokens: token capacity of the engines' caches.
+    :param is_continued: whether the program continues from an answered turn.
     """
 
     attempt: str
@@ -369,14 +374,14 @@
 
 
 class MessageDropped(Decision, frozen=True):
-    """A message of another machine was not understood; its connection goes on.
+    """A message of another machine was not understood; its connection stays open.
 
-    This release does not have its type, or a neighbour passed on what is no message.
+    Its type is unknown to this release, or a neighbour forwarded something that is not a message.
 
-    :param peer: the address that it came from; the neighbour's name if one passed it on.
+    :param peer: address of the sender; the neighbour's name if one forwarded it.
     """
 
-    # A later release may send such messages all the time.
+    # Machines of a later release may send such messages continuously.
     lines_per_second: ClassVar[int] = 1
 
     peer: str
@@ -384,12 +389,12 @@
 
 
 class AcceptFailed(Decision, frozen=True):
-    """A connection could not be accepted; those that wait are tried again.
+    """A connection could not be accepted; accepting is retried.
 
-    :param address: that is listened on.
+    :param address: the listening address.
     """
 
-    # A process without descriptors fails many times a second.
+    # A process that has run out of file descriptors fails many times per second.
     lines_per_second: ClassVar[int] = 1
 
     address: str
@@ -397,9 +402,9 @@
 
 
 class PeerConnectionClosed(Decision, frozen=True):
-    """Another machine sent what is no message, so its connection was closed.
+    """Another machine sent something that is not a message, and its connection was closed.
 
-    :param peer: the address that it came from.
+    :param peer: address of that machine.
     """
 
     peer: str
@@ -407,7 +412,7 @@
 
 
 class ReplicaSynchronised(Decision, frozen=True):
-    """A replica holds all that its group had completed."""
+    """A replica has copied everything that its group had completed."""
 
     group: int
     epoch: int
@@ -415,19 +420,20 @@
 
 
 class ProcessChanged(Decision, frozen=True):
-    """The process started, stops, reloaded or stopped."""
+    """The process started, is stopping, reloaded its settings or stopped."""
 
     change: str
     detail: str
 
 
 class LineWriter:
-    """Writes lines to a descriptor without ever waiting for its reader.
+    """Writes lines to a file descriptor without waiting for its reader.
 
-    A line that does not fit is dropped and counted; one that fits in part is
-    completed before the next.
+    A line that does not fit into the buffer is dropped and counted. One that fits in part is
+    completed before the next line.
 
-    :param descriptor: made non-blocking.
+    :param descriptor: file descriptor, which is set to non-blocking.
+    :ivar dropped: number of dropped lines.
     """
 
     def __init__(self, descriptor: int) -> None:
@@ -460,9 +466,9 @@
 class DecisionLog:
     """Writes decisions as JSON lines.
 
-    :param node: put into every line.
-    :param count: called with every decision, written or not.
-    :param descriptor: where the lines go; standard output.
+    :param node: name of the machine, included in every line.
+    :param count: called with every decision, whether or not it is written.
+    :param descriptor: file descriptor for the lines; standard output by default.
     """
 
     def __init__(
@@ -480,11 +486,11 @@
 
     @property
     def dropped(self) -> int:
-        """Return how many lines were not written since their reader did not read."""
+        """Return how many lines were dropped because the reader was too slow."""
         return self._writer.dropped
 
     def write(self, decision: Decision) -> None:
-        """Write one line, unless its kind is above its rate."""
+        """Write one line, unless the rate of its kind is exceeded."""
         self._count(decision)
         kind = type(decision).__name__
         now = time.time()
@@ -509,9 +515,9 @@
 
 
 def _fields(decision: Decision) -> dict[str, Any]:
-    """Return the fields of a line; numbers with what is worth reading of their digits."""
+    """Return the fields of a line, with floats rounded to five digits."""
     values = msgspec.structs.asdict(decision)
-    for name in _numbers_of(type(decision)):
+    for name in _float_fields(type(decision)):
         value = values[name]
         if value is not None:
             values[name] = round(value, 5)
@@ -519,10 +525,10 @@
 
 
 @cache
-def _numbers_of(kind: type[Decision]) -> list[str]:
-    """Return the names of the fields that hold numbers with a fraction."""
-    return [field.name for field in msgspec.structs.fields(kind) if _is_number(field.type)]
+def _float_fields(kind: type[Decision]) -> list[str]:
+    """Return the names of the fields of type float."""
+    return [field.name for field in msgspec.structs.fields(kind) if _is_float(field.type)]
 
 
-def _is_number(hint: Any) -> bool:
+def _is_float(hint: Any) -> bool:
     return hint is float or float in get_args(hint)
--- a/yarrowwall/metrics.py
+++ b/yarrowwall/metrics.py
@@ -1,7 +1,7 @@
-"""Metrics of a machine, in Prometheus' text form, counted from its decisions.
+"""Metrics of a machine in the Prometheus text format, counted from its decisions.
 
-They are counted in plain numbers. The library that writes them is loaded at the first
-scrape, for it takes part of a start that callers wait for and memory that most never need.
+They are counted in plain numbers. The Prometheus library is imported at the first scrape:
+importing it earlier would delay startup, while callers wait, and use memory without need.
 """
 
 from bisect import bisect_left
@@ -24,7 +24,7 @@
 
 
 class _Description(NamedTuple):
-    """A metric as Prometheus shows it."""
+    """Name, help text and label of a metric."""
 
     name: str
     text: str
@@ -103,7 +103,7 @@
 
 
 class _Key(NamedTuple):
-    """One series of a metric."""
+    """One time series of a metric."""
 
     metric: _Description
     label: str = ""
@@ -191,25 +191,25 @@
         self._set(MEMBERS, len(event.members.split(",")) if event.members else 0, event.group)
 
     def set_zone_records(self, count: int) -> None:
-        """Take in how many records are held for the zone's own group."""
+        """Set the number of records stored for the zone's own group."""
         self._set(ZONE_RECORDS, count)
 
     def set_age(self, age_s: float) -> None:
-        """Take in how old the proof of the configuration is."""
+        """Set the seconds since the configuration was last proved to be the newest."""
         self._set(AGE, age_s)
 
     def set_relayed(self, relayed: Mapping[str, int], forwarded: Mapping[str, int]) -> None:
-        """Take in the requests that went through neighbours, and those passed on for others."""
+        """Set the counts of requests sent through neighbours and forwarded for gateways."""
         self._set_counts(RELAYED, relayed)
         self._set_counts(FORWARDED, forwarded)
 
     def set_relay_refusals(self, met: Mapping[str, int], given: Mapping[str, int]) -> None:
-        """Take in the refusals of neighbours, and those given to others."""
+        """Set the counts of refusals by neighbours, and of refusals to forward for others."""
         self._set_counts(RELAY_REFUSALS, met)
         self._set_counts(FORWARD_REFUSALS, given)
 
     def set_reader_detours(self, outcomes: Mapping[str, int]) -> None:
-        """Take in what became of questions to readers that went through neighbours."""
+        """Set the counts of relayed reads by outcome."""
         self._set_counts(READER_DETOURS, outcomes)
 
     def _set_counts(self, metric: _Description, counts: Mapping[str, int]) -> None:
@@ -217,12 +217,12 @@
             self._counts[_Key(metric, label)] = count
 
     def set_held(self, held: Mapping[str, int]) -> None:
-        """Take in how many bytes are held, by what is told of them."""
+        """Set the numbers of buffered bytes by kind."""
         for of, count in held.items():
             self._set(HELD, count, of)
 
     def set_lent(self, lent: Mapping[str, int]) -> None:
-        """Take in what counts against each tenant's part."""
+        """Set the requests that count against this replica's share, by tenant."""
         for key in [key for key in self._gauges if key.metric is LENT]:
             del self._gauges[key]
         for tenant, count in lent.items():
@@ -233,19 +233,19 @@
         self._add(CACHED_TOKENS, amount=event.cached_tokens)
 
     def render(self, dropped: int) -> bytes:
-        """Return the text that a scrape gets.
+        """Return the text of a scrape.
 
-        :param dropped: log lines that were not written.
+        :param dropped: number of log lines that were not written.
         """
         from prometheus_client import CollectorRegistry, generate_latest
 
         self._set(DROPPED, dropped)
         registry = CollectorRegistry()
-        registry.register(self)  # type: ignore[arg-type]  # a collector is whatever collects
+        registry.register(self)  # type: ignore[arg-type]  # a collector only needs `collect`
         return generate_latest(registry)
 
     def collect(self) -> "Iterator[Metric]":
-        """Return every metric, for Prometheus' library."""
+        """Return all metrics, for the Prometheus library."""
         from prometheus_client.core import (
             CounterMetricFamily,
             GaugeMetricFamily,
@@ -259,14 +259,14 @@
         yield latencies
 
     def _cumulative(self) -> list[tuple[str, float]]:
-        """Return the bounds of the buckets, each with how many attempts took at most so long."""
+        """Return the upper bounds of the buckets, each with its cumulative count of attempts."""
         bounds = [*(str(bound) for bound in _LATENCY_BUCKETS), "+Inf"]
         counts = [float(sum(self._latencies[: end + 1])) for end in range(len(bounds))]
         return list(zip(bounds, counts, strict=True))
 
 
 def _families(series: dict[_Key, Any], family: Callable[..., Any]) -> "Iterator[Metric]":
-    """Return the metrics of one type, each with all of its series."""
+    """Return the metrics of one type, each with all of its time series."""
     metrics: dict[_Description, Any] = {}
     for (metric, label), value in series.items():
         labels = [metric.label] if metric.label else []
@@ -277,7 +277,7 @@
 
 
 def serve_metrics(listener: SteadyListener, render: Callable[[], bytes]) -> None:
-    """Tell the metrics on a listening socket until the process ends."""
+    """Serve the metrics on a listening socket until the process ends."""
 
     def answer(environ: dict[str, Any], start_response: Callable[..., Any]) -> Iterable[bytes]:
         if environ["PATH_INFO"] != _METRICS_PATH:
