--- a/features/steps/quota_proof_steps.py
+++ b/features/steps/quota_proof_steps.py
@@ -9,15 +9,15 @@
 from yarrowwall.messages.quotas import QuotaReply, QuotaStatus, ReturnQuota, TakeQuota, TenantLimit
 from yarrowwall.messages.replicated import GroupView, Member
 from yarrowwall.policy.program_sizes import ProgramSizes
-from yarrowwall.quotas.entitlement import Entitlement, Voucher
-from yarrowwall.quotas.lender import Lender
-from yarrowwall.quotas.order import LenderOrder
-from yarrowwall.quotas.terms import QuotaTerms
+from yarrowwall.quotas.issuer_lease import IssuerLease, Voucher
+from yarrowwall.quotas.issuer_order import IssuerOrder
+from yarrowwall.quotas.permit_issuer import PermitIssuer
+from yarrowwall.quotas.quota_rules import QuotaRules
 
 #: Schedules in which a mutant has to be found.
 MUTANT_SEEDS = range(150)
 NOW_S = 100.0
-PLAIN = QuotaTerms(5.0)
+PLAIN = QuotaRules(5.0)
 
 
 @then("the schedules {first:d} to {last:d} keep every window within the limit")
@@ -45,30 +45,30 @@
 def member_of_five(context: Context) -> None:
     context.disks = ["a", "b", "c", "d", "e"]
     members = [Member(disk, disk, "127.0.0.1:1", "z") for disk in context.disks]
-    context.entitlement = Entitlement("a", PLAIN.lent_s)
-    context.entitlement.take_view(GroupView(0, 1, members, []), 0.0)
+    context.lease = IssuerLease("a", PLAIN.counted_s)
+    context.lease.take_view(GroupView(0, 1, members, []), 0.0)
 
 
 @when("{count:d} others vouch for epoch {epoch:d} by answers to questions sent {age:f} s ago")
 def others_vouch(context: Context, count: int, epoch: int, age: float) -> None:
-    voucher = Voucher(epoch, NOW_S - age)
-    context.vouchers = {disk: voucher for disk in context.disks[1 : count + 1]}
+    confirmation = Voucher(epoch, NOW_S - age)
+    context.confirmations = {disk: confirmation for disk in context.disks[1 : count + 1]}
 
 
 @then("it lends: {lends}")
 def it_lends(context: Context, lends: str) -> None:
-    assert context.entitlement.holds(context.vouchers, NOW_S) == (lends == "yes")
+    assert context.lease.holds(context.confirmations, NOW_S) == (lends == "yes")
 
 
 def lender_of(context: Context, rate_per_s: float, burst: float) -> None:
-    context.lender = Lender(PLAIN, 1, lambda tenant, now_s: 0)
+    context.issuer = PermitIssuer(PLAIN, 1, lambda tenant, now_s: 0)
     context.limit = TenantLimit(1, rate_per_s, burst)
     context.replies = []
 
 
 def ask(context: Context, at_s: float, count: int = 1, size: float = 0.0) -> QuotaReply:
     request = TakeQuota(0, "d", "alloy", context.limit, count, size)
-    reply = context.lender.take(request, Clock(at_s, at_s)).reply
+    reply = context.issuer.issue(request, Clock(at_s, at_s)).reply
     context.replies.append(reply)
     return reply
 
@@ -88,7 +88,7 @@
     for _ in range(count):
         assert ask(context, 0.0).status is QuotaStatus.GRANTED
     assert ask(context, 0.0).status is QuotaStatus.NO_ROOM
-    context.lender.give_back(ReturnQuota(0, "d", "alloy", context.replies[0].ticket))
+    context.issuer.return_permit(ReturnQuota(0, "d", "alloy", context.replies[0].ticket))
     context.at_s = 0.0
 
 
@@ -166,8 +166,8 @@
 
 @given('lenders "a1", "a2", "b1", "b2" and "c1" in the zones they are named after')
 def five_lenders(context: Context) -> None:
-    context.order = LenderOrder("a")
-    context.lenders = [Member(name, name, "127.0.0.1:1", name[0]) for name in LENDERS]
+    context.order = IssuerOrder("a")
+    context.issuers = [Member(name, name, "127.0.0.1:1", name[0]) for name in LENDERS]
 
 
 @when("at {at_s:f} s nothing is known")
@@ -177,13 +177,13 @@
 
 @when('at {at_s:f} s "{name}" has no room')
 def one_without_room(context: Context, at_s: float, name: str) -> None:
-    member = next(one for one in context.lenders if one.node_id == name)
+    member = next(one for one in context.issuers if one.node_id == name)
     context.order.note_exhausted(member, "alloy", 3.0, at_s)
 
 
 @when('at {at_s:f} s "{name}" does not answer')
 def one_silent(context: Context, at_s: float, name: str) -> None:
-    context.order.note_silent(next(one for one in context.lenders if one.node_id == name), at_s)
+    context.order.note_silent(next(one for one in context.issuers if one.node_id == name), at_s)
 
 
 @when("at {at_s:f} s none has room")
@@ -199,7 +199,7 @@
 
 
 def asked(context: Context, at_s: float) -> list[str]:
-    return [one.node_id for one in context.order.candidates(context.lenders, "alloy", at_s)]
+    return [one.node_id for one in context.order.candidates(context.issuers, "alloy", at_s)]
 
 
 @then('at {at_s:f} s a gateway of zone "a" asks {count:d}')
@@ -224,7 +224,7 @@
     members = [Member(name, name, "127.0.0.1:1", "z") for name in LENDERS]
     entitlements = []
     for name in LENDERS:
-        one = Entitlement(name, PLAIN.lent_s)
+        one = IssuerLease(name, PLAIN.counted_s)
         one.take_view(GroupView(0, 1, members, []), 0.0)
         entitlements.append(one)
     for most in range(41):
--- a/features/support/quota_model.py
+++ b/features/support/quota_model.py
@@ -22,11 +22,11 @@
 )
 from yarrowwall.messages.replicated import GroupView, Member
 from yarrowwall.quorum import majority
-from yarrowwall.quotas import terms as quota_terms
-from yarrowwall.quotas.entitlement import Entitlement, Voucher
-from yarrowwall.quotas.lender import Lender
-from yarrowwall.quotas.lending import QuotaLending
-from yarrowwall.quotas.terms import QuotaTerms
+from yarrowwall.quotas import quota_rules
+from yarrowwall.quotas.issuer_lease import IssuerLease, Voucher
+from yarrowwall.quotas.permit_issuer import PermitIssuer
+from yarrowwall.quotas.permit_service import PermitService
+from yarrowwall.quotas.quota_rules import QuotaRules
 from yarrowwall.replication.views import disk_ids
 
 END_S = 45.0
@@ -35,7 +35,7 @@
 GATEWAYS = 6
 TENANT = "alloy"
 #: Three parts of five requests and two of six make up the whole limit, so one more breaks it.
-TERMS = QuotaTerms(5.0, 0.1, 3.0)
+TERMS = QuotaRules(5.0, 0.1, 3.0)
 LIMIT = TenantLimit(1, 4.0, 2.0)
 LOWERED = TenantLimit(2, 1.0, 1.0)
 #: Seconds between two questions of a gateway: many times what the limit allows.
@@ -51,8 +51,8 @@
     """What survives of a lender, and its state machines."""
 
     replica: Any
-    lender: Lender
-    entitlement: Entitlement
+    issuer: PermitIssuer
+    lease: IssuerLease
     persist: Callable[..., None]
 
 
@@ -77,7 +77,7 @@
     def __init__(self) -> None:
         self.known: dict[str, Voucher] = {}
 
-    def vouchers(self) -> dict[str, Voucher]:
+    def confirmations(self) -> dict[str, Voucher]:
         """Return what the others said."""
         return self.known
 
@@ -95,7 +95,7 @@
     is_cut: bool = False
     incarnation: int = 0
     frozen_until_s: float = 0.0
-    lending: QuotaLending | None = None
+    lending: PermitService | None = None
     disk: ModelDisk | None = None
     peers: _Peers = field(default_factory=_Peers)
 
@@ -178,18 +178,18 @@
         machine.incarnation += 1
         machine.is_up = True
         replica = _Replica(machine.disk_id)
-        entitlement = Entitlement(machine.disk_id, TERMS.lent_s)
-        lender = Lender(TERMS, LENDERS, entitlement.rank)
+        lease = IssuerLease(machine.disk_id, TERMS.counted_s)
+        issuer = PermitIssuer(TERMS, LENDERS, lease.rank)
         machine.peers = _Peers()
         machine.disk = ModelDisk(
             replica,
-            lender,
-            entitlement,
+            issuer,
+            lease,
             lambda records, done=lambda: None, refused=lambda: None: self.persist(
                 machine, records, done
             ),
         )
-        machine.lending = QuotaLending(
+        machine.lending = PermitService(
             machine.disk, machine.peers, _Log(), lambda: self.clock(machine)
         )
         clock = self.clock(machine)
@@ -213,13 +213,13 @@
         self.installed[machine.disk_id] = view.epoch
         machine.log.append(view)
         machine.disk.replica.epoch = view.epoch
-        machine.disk.entitlement.take_view(view, self.clock(machine).steady_s)
+        machine.disk.lease.take_view(view, self.clock(machine).steady_s)
 
     def _heartbeat(self, machine: Machine) -> None:
         self.at(HEARTBEAT_S, lambda: self._heartbeat(machine))
         if not machine.is_up or self.now_s < machine.frozen_until_s:
             return
-        machine.lending.note_begun()
+        machine.lending.record_begun()
         for other in self.machines.values():
             if other is not machine and not (machine.is_cut or other.is_cut):
                 self._ask_peer(machine, other)
@@ -346,7 +346,7 @@
                         self.delay_s(), lambda: self._granted(machine, request, answer, asked_s)
                     )
 
-            machine.lending.take(request, reply)
+            machine.lending.issue(request, reply)
 
         self.deliver(machine, ask)
 
@@ -364,9 +364,9 @@
             return
         if self.rng.random() < 0.1:
             returned = ReturnQuota(0, request.disk_id, TENANT, answer.ticket)
-            self.deliver(machine, lambda: machine.lending.give_back(returned))
+            self.deliver(machine, lambda: machine.lending.return_permit(returned))
             return
-        way_s = self.rng.uniform(0.0, quota_terms.WAY_SECONDS)
+        way_s = self.rng.uniform(0.0, quota_rules.DELIVERY_SECONDS)
         wait_s = self.rng.choice([0.0, self.rng.uniform(0.0, left_s)])
         self.at(wait_s + way_s, lambda: self.arrived_s.append(self.now_s))
 
@@ -381,7 +381,7 @@
             while arrived[first] < at_s - TERMS.window_s:
                 first += 1
             # A lower limit holds one window after every gateway knows of it.
-            is_low = arrived[first] > self.lowered_at_s + 1.5 + TERMS.lent_s
+            is_low = arrived[first] > self.lowered_at_s + 1.5 + TERMS.counted_s
             limit = LOWERED if is_low else LIMIT
             worst = max(worst, last - first + 1 - TERMS.most(limit))
         return worst
@@ -390,17 +390,17 @@
 def restore(disk: ModelDisk, record: Any, clock: Clock) -> None:
     """Take in a record as :class:`yarrowwall.quotas.replica_disk.ReplicaDisk` does."""
     if isinstance(record, QuotaLent):
-        disk.lender.restore(record, clock)
+        disk.issuer.restore(record, clock)
     elif isinstance(record, LendingBegun):
-        disk.entitlement.restore_begun(clock.steady_s)
+        disk.lease.restore_begun(clock.steady_s)
     else:
         disk.replica.epoch = record.epoch
-        disk.entitlement.take_view(record, clock.steady_s)
+        disk.lease.take_view(record, clock.steady_s)
 
 
 def credit_left_s(world: World, asked_s: float) -> float:
     """Return for how long a gateway may still use what it was lent."""
-    return asked_s + quota_terms.CREDIT_SECONDS - world.now_s
+    return asked_s + quota_rules.PERMIT_SECONDS - world.now_s
 
 
 def played(seed: int) -> World:
--- a/yarrowwall/dispatch/sender.py
+++ b/yarrowwall/dispatch/sender.py
@@ -153,7 +153,7 @@
             if not opened.answer.was_not_run:
                 return opened
             reason = f"server answered {opened.answer.status}, not run"
-            self._sending.allowance.not_run()
+            self._sending.allowance.note_not_run()
             self._turned_away(opened)
         raise self.refused(reason)
 
@@ -179,7 +179,7 @@
         self._last_incarnation = server.incarnation
         connection = self._connect(server)
         try:
-            self._sending.allowance.spend()
+            self._sending.allowance.use_permit()
         except RefusedError:
             self._parts.pool.give_back(server, connection)
             raise
--- a/yarrowwall/gateway/exchange.py
+++ b/yarrowwall/gateway/exchange.py
@@ -171,7 +171,7 @@
         if attempt.program is not None:
             self._parts.program_sizes.note_lookup()
         allowance = self._parts.quotas.allowance(attempt)
-        allowance.begin()
+        allowance.prefetch()
         try:
             service = self._gateway.admission.service_for(route)
             sending = Sending(attempt, route, service, time, attempt.body, allowance, self._hold)
@@ -185,7 +185,7 @@
         turn = Turn(self._gateway, attempt, route, time, self._hold, self._response)
         loads = self._parts.dispatch.loads.ask()
         allowance = self._parts.quotas.allowance(attempt)
-        allowance.begin()
+        allowance.prefetch()
         try:
             grant = turn.open()
             yield from turn.run(grant, allowance, loads)
--- a/yarrowwall/gateway/turn.py
+++ b/yarrowwall/gateway/turn.py
@@ -157,14 +157,14 @@
     def _ask_for_room(self, grant: TurnGrant, allowance: Allowance) -> None:
         sizes, service = self._parts.program_sizes, self._service
         if service is None or service.engine is None:
-            allowance.begin_program(sizes.expected(self._route.name))
+            allowance.admit_program(sizes.expected(self._route.name))
             return
         # A lender counts each program that it welcomes, so the servers' room goes first.
         turns = sizes.expected_turns(self._route.name)
         new = NewProgram(self._attempt, service, turns, grant.is_continued)
         self._parts.rooms.begin_program(new)
         try:
-            allowance.begin_program(sizes.expected(self._route.name))
+            allowance.admit_program(sizes.expected(self._route.name))
         except RefusedError:
             self._parts.rooms.did_not_begin(new)
             raise
--- a/yarrowwall/machine/gateway_role.py
+++ b/yarrowwall/machine/gateway_role.py
@@ -29,7 +29,7 @@
 from yarrowwall.policy.programs_under_way import ProgramsUnderWay
 from yarrowwall.policy.servers import ServerDirectory
 from yarrowwall.ports.platform import Adapter
-from yarrowwall.quotas.borrowing import QuotaBorrower
+from yarrowwall.quotas.permit_client import PermitClient
 from yarrowwall.replication.forwarding import Forwarder
 from yarrowwall.replication.group_views import GroupViews
 from yarrowwall.replication.loss_checks import LossChecks
@@ -86,7 +86,7 @@
             settings.node_id, self._directory, self._views, links, time.monotonic, programs
         )
         rooms = ProgramRooms(self._directory, self._loads, programs, log, time.monotonic)
-        self._quotas = QuotaBorrower(settings.zone, self._views, links, log, time.monotonic)
+        self._quotas = PermitClient(settings.zone, self._views, links, log, time.monotonic)
         bounds = settings.bounds
         self._freshness = Freshness(bounds.revocation_s, bounds.configuration_s)
         dispatch = DispatchParts(
@@ -207,7 +207,7 @@
             eventlet.sleep(HOUSEKEEPING_SECONDS)
             self._directory.forget_vanished(time.monotonic())
             self._pool.close_expired()
-            self._quotas.keep_house()
+            self._quotas.drop_expired()
             self._ledger.probe()
             self._links.probe()
 
--- a/yarrowwall/machine/replica_requests.py
+++ b/yarrowwall/machine/replica_requests.py
@@ -21,7 +21,7 @@
     StatusReply,
     TellLoad,
 )
-from yarrowwall.quotas.lending import QuotaLending
+from yarrowwall.quotas.permit_service import PermitService
 from yarrowwall.replication.disk import RecordDisk
 from yarrowwall.replication.neighbours import NeighbourBoard
 from yarrowwall.replication.replica import Request
@@ -47,11 +47,11 @@
     """
 
     def __init__(
-        self, common: KeptReplica, zone: KeptReplica, lending: QuotaLending, reader: ObjectReader
+        self, common: KeptReplica, zone: KeptReplica, permits: PermitService, reader: ObjectReader
     ) -> None:
         self._common = common
         self._zone = zone
-        self._lending = lending
+        self._permits = permits
         self._reader = reader
         self._loads = LoadBoard()
         self._rooms = RoomBoard()
@@ -69,9 +69,9 @@
             case ReturnRoom():
                 self._rooms.take_back(request)
             case TakeQuota():
-                self._lending.take(request, reply)
+                self._permits.issue(request, reply)
             case ReturnQuota():
-                self._lending.give_back(request)
+                self._permits.return_permit(request)
             case AskNeighbours():
                 neighbours = self._neighbours.ask(request.gateway, time.monotonic())
                 reply(NeighboursReply(neighbours))
--- a/yarrowwall/machine/replica_role.py
+++ b/yarrowwall/machine/replica_role.py
@@ -22,7 +22,7 @@
     StoredObject,
 )
 from yarrowwall.ports.platform import Documents
-from yarrowwall.quotas.lending import QuotaLending
+from yarrowwall.quotas.permit_service import PermitService
 from yarrowwall.quotas.replica_disk import QuotaSettings, ReplicaDisk
 from yarrowwall.replication.coordinator import Coordinator, OwnReplicas
 from yarrowwall.replication.disk import RecordDisk
@@ -70,14 +70,14 @@
         self._reader = reader
         self._listeners = listeners
         self._log = log
-        lenders = target_size(settings.machines_lost_at_once)
-        quotas = QuotaSettings(settings.bounds.quota_terms, lenders)
+        issuers = target_size(settings.machines_lost_at_once)
+        quotas = QuotaSettings(settings.bounds.quota_rules, issuers)
         folder = Path(own.data_folder)
         self._disk = ReplicaDisk(settings.node_id, folder, quotas, log)
         zone_disk = RecordDisk(settings.node_id, folder / ZONE_FOLDER, log)
         self._links = LinkTable(log, time.monotonic)
         self._peers = ReplicaPeers(settings.node_id, settings.zone, self._links, time.monotonic)
-        self._lending = QuotaLending(self._disk, self._peers, log)
+        self._permits = PermitService(self._disk, self._peers, log)
         self._common = KeptReplica(
             self._disk, Synchroniser(self._disk, self._links, log, time.time)
         )
@@ -100,7 +100,7 @@
         self._registration = Registration(
             own_member, zone_disk.replica.disk_id, store, documents, self._peers, log
         )
-        self._requests = ReplicaRequests(self._common, self._zone, self._lending, reader)
+        self._requests = ReplicaRequests(self._common, self._zone, self._permits, reader)
         self._followers = [
             KindFollower(
                 store,
@@ -148,7 +148,7 @@
 
     def measure(self, metrics: MachineMetrics) -> None:
         """Set the metrics that are measured when they are asked for."""
-        metrics.set_lent(self._disk.lender.lent_by_tenant(time.monotonic()))
+        metrics.set_lent(self._disk.issuer.issued_by_tenant(time.monotonic()))
         metrics.set_zone_records(len(self._zone.disk.replica.table))
 
     # Upkeep
@@ -159,10 +159,10 @@
             eventlet.sleep(UPKEEP_SECONDS)
             self._registration.tell_retirement(self._coordinator.views())
             self._reader.stop_unwanted()
-            self._lending.note_begun()
+            self._permits.record_begun()
             if time.monotonic() > next_expiry:
                 next_expiry = time.monotonic() + EXPIRY_SECONDS
-                self._lending.forget_idle()
+                self._permits.drop_expired()
                 for replica in (self._common, self._zone):
                     replica.disk.replica.table.expire(time.time())
                     replica.disk.compact_if_long()
--- a/yarrowwall/machine/settings.py
+++ b/yarrowwall/machine/settings.py
@@ -13,7 +13,7 @@
 from yarrowwall.addresses import check_address
 from yarrowwall.exceptions import SettingsError
 from yarrowwall.policy.memory_budget import DEFAULT_MEMORY_MB
-from yarrowwall.quotas.terms import QuotaTerms
+from yarrowwall.quotas.quota_rules import QuotaRules
 from yarrowwall.settings_file import NAME_PATTERN, parse_toml, read_text
 
 _Name = Annotated[str, msgspec.Meta(pattern=NAME_PATTERN)]
@@ -67,9 +67,9 @@
     quota_slack: _NotNegative = 0.0
 
     @property
-    def quota_terms(self) -> QuotaTerms:
+    def quota_rules(self) -> QuotaRules:
         """Return how tenants' limits are measured."""
-        return QuotaTerms(self.quota_window_s, self.quota_overage, self.quota_slack)
+        return QuotaRules(self.quota_window_s, self.quota_overage, self.quota_slack)
 
     @property
     def revocation_s(self) -> float | None:
--- a/yarrowwall/ports/quotas.py
+++ b/yarrowwall/ports/quotas.py
@@ -9,11 +9,11 @@
     """The credits of one attempt: each sending needs one."""
 
     @abstractmethod
-    def begin(self) -> None:
+    def prefetch(self) -> None:
         """Begin to ask for a credit; whoever needs it waits for the answer then."""
 
     @abstractmethod
-    def begin_program(self, expected_requests: float) -> None:
+    def admit_program(self, expected_requests: float) -> None:
         """Ask whether a new program is welcome.
 
         :param expected_requests: that it will make in all.
@@ -21,14 +21,14 @@
         """
 
     @abstractmethod
-    def spend(self) -> None:
+    def use_permit(self) -> None:
         """Use a credit for a sending that happens right now, waiting for it if need be.
 
         :raises RefusedError: if there is none.
         """
 
     @abstractmethod
-    def not_run(self) -> None:
+    def note_not_run(self) -> None:
         """Note that the last sending surely did not run: its credit serves the next one."""
 
     @abstractmethod
@@ -44,19 +44,19 @@
         """Return the allowance of an attempt."""
 
 
-class Unlimited(Allowance):
+class UnlimitedAllowance(Allowance):
     """The allowance of a tenant without a limit."""
 
-    def begin(self) -> None:
+    def prefetch(self) -> None:
         """Ask nobody."""
 
-    def begin_program(self, expected_requests: float) -> None:
+    def admit_program(self, expected_requests: float) -> None:
         """Ask nobody."""
 
-    def spend(self) -> None:
+    def use_permit(self) -> None:
         """Return at once."""
 
-    def not_run(self) -> None:
+    def note_not_run(self) -> None:
         """Keep nothing."""
 
     def close(self) -> None:
--- a/yarrowwall/quotas/entitlement.py
+++ b/yarrowwall/quotas/issuer_lease.py
@@ -37,15 +37,15 @@
     until_s: float
 
 
-class Entitlement:
+class IssuerLease:
     """The right of one disk to lend.
 
-    :param lent_s: for how many seconds what was lent counts.
+    :param counted_s: for how many seconds what was lent counts.
     """
 
-    def __init__(self, disk_id: str, lent_s: float) -> None:
+    def __init__(self, disk_id: str, counted_s: float) -> None:
         self._disk_id = disk_id
-        self._wait_s = lent_s + LEASE_SECONDS + MARGIN_SECONDS
+        self._wait_s = counted_s + LEASE_SECONDS + MARGIN_SECONDS
         self._view: GroupView | None = None
         self._formers: list[_Former] = []
         self._from_s: float | None = None
@@ -118,7 +118,7 @@
         own = score(tenant, self._disk_id)
         return sum(score(tenant, disk) < own for disk in disks)
 
-    def holds(self, vouchers: Mapping[str, Voucher], now_s: float) -> bool:
+    def holds(self, confirmations: Mapping[str, Voucher], now_s: float) -> bool:
         """Return whether the replica may lend now.
 
         :param vouchers: what the other replicas said last, by disk.
@@ -127,13 +127,13 @@
             return False
         members = disk_ids(self._view.members)
         vouching = sum(
-            disk == self._disk_id or self._vouches(vouchers.get(disk), self._view.epoch, now_s)
+            disk == self._disk_id or self._vouches(confirmations.get(disk), self._view.epoch, now_s)
             for disk in members
         )
         return vouching >= majority(len(members))
 
     @staticmethod
-    def _vouches(voucher: Voucher | None, epoch: int, now_s: float) -> bool:
-        if voucher is None or voucher.epoch > epoch:
+    def _vouches(confirmation: Voucher | None, epoch: int, now_s: float) -> bool:
+        if confirmation is None or confirmation.epoch > epoch:
             return False
-        return voucher.asked_at_s >= now_s - LEASE_SECONDS
+        return confirmation.asked_at_s >= now_s - LEASE_SECONDS
--- a/yarrowwall/quotas/order.py
+++ b/yarrowwall/quotas/issuer_order.py
@@ -20,7 +20,7 @@
     disk_id: str
 
 
-class LenderOrder:
+class IssuerOrder:
     """The order in which the lenders of a tenant are asked.
 
     The own zone comes first, which saves 2.8 ms a question; lenders known to have no room, or
--- a/yarrowwall/quotas/borrowing.py
+++ b/yarrowwall/quotas/permit_client.py
@@ -18,10 +18,10 @@
 from yarrowwall.messages.replicated import Member
 from yarrowwall.model import Attempt
 from yarrowwall.policy.retry_after import after_limit_s, after_outage_s
-from yarrowwall.ports.quotas import Allowance, QuotaSource, Unlimited
-from yarrowwall.quotas.credits import Credit, CreditStock
-from yarrowwall.quotas.order import LenderOrder
-from yarrowwall.quotas.questions import Question, Questions
+from yarrowwall.ports.quotas import Allowance, QuotaSource, UnlimitedAllowance
+from yarrowwall.quotas.issuer_order import IssuerOrder
+from yarrowwall.quotas.permit_requests import PermitRequest, PermitRequests
+from yarrowwall.quotas.permits import Permit, PermitPool
 from yarrowwall.refusals import Refusal, RefusedError, unavailable
 from yarrowwall.replication.group_views import GroupViews
 from yarrowwall.replication.rpc import LinkTable
@@ -40,7 +40,7 @@
 MOST_WAIT_SECONDS = 0.6
 
 
-class QuotaBorrower(QuotaSource):
+class PermitClient(QuotaSource):
     """Borrows from the replicas of a tenant's group.
 
     :param now: the monotonic clock.
@@ -58,8 +58,8 @@
         self.links = links
         self.log = log
         self.now = now
-        self.order = LenderOrder(zone)
-        self.stock = CreditStock(links, now)
+        self.order = IssuerOrder(zone)
+        self.stock = PermitPool(links, now)
         self._usual_s = FIRST_USUAL_SECONDS
 
     @property
@@ -67,68 +67,68 @@
         """Return the seconds after which a lender is held to be late."""
         return min(max(LATE_FACTOR * self._usual_s, LATE_SECONDS), MOST_LATE_SECONDS)
 
-    def note_answered(self, question: Question) -> None:
+    def note_answered(self, question: PermitRequest) -> None:
         """Take in that a lender answered, and how long it took."""
         if question.reply is None or question.reply.status is QuotaStatus.NOT_ENTITLED:
             return
-        self.order.note_answered(question.lender)
+        self.order.note_answered(question.issuer)
         took_s = self.now() - question.asked_at_s
         self._usual_s += USUAL_WEIGHT * (took_s - self._usual_s)
 
     def allowance(self, attempt: Attempt) -> Allowance:
         """Return the allowance of an attempt."""
         if attempt.limit is None:
-            return Unlimited()
-        return BorrowedAllowance(self, attempt, attempt.limit)
+            return UnlimitedAllowance()
+        return LimitedAllowance(self, attempt, attempt.limit)
 
-    def keep_house(self) -> None:
+    def drop_expired(self) -> None:
         """Give back what is over; forget which lenders had no room a while ago."""
         self.stock.sweep()
         self.order.forget_past(self.now())
 
 
-class BorrowedAllowance(Allowance):
+class LimitedAllowance(Allowance):
     """The allowance of an attempt of a tenant with a limit."""
 
-    def __init__(self, borrower: QuotaBorrower, attempt: Attempt, limit: TenantLimit) -> None:
+    def __init__(self, borrower: PermitClient, attempt: Attempt, limit: TenantLimit) -> None:
         self._borrower = borrower
         self._attempt_id = attempt.attempt_id
         self._tenant = attempt.tenant
         self._limit = limit
-        self._questions = Questions(borrower.note_answered)
+        self._questions = PermitRequests(borrower.note_answered)
         self._asked: set[str] = set()
-        self._credit: Credit | None = None
-        self._spent: Credit | None = None
+        self._credit: Permit | None = None
+        self._spent: Permit | None = None
 
     # What a gateway asks
 
-    def begin(self) -> None:
+    def prefetch(self) -> None:
         """Take a credit that is held, or begin to ask the first lender."""
         self._credit = self._borrower.stock.take(self._tenant)
         if self._credit is None:
             self._ask_next()
 
-    def begin_program(self, expected_requests: float) -> None:
+    def admit_program(self, expected_requests: float) -> None:
         """Ask whether a new program is welcome; whoever cannot be asked welcomes it.
 
         :raises RefusedError: if it does not fit the tenant's limit now.
         """
         now_s = self._borrower.now()
         members = self._members()
-        for lender in self._borrower.order.home(members, self._tenant, now_s):
-            questions = Questions(self._borrower.note_answered)
-            self._ask(questions, lender, 0, expected_requests)
+        for issuer in self._borrower.order.home(members, self._tenant, now_s):
+            questions = PermitRequests(self._borrower.note_answered)
+            self._ask(questions, issuer, 0, expected_requests)
             question = questions.next(self._borrower.late_s)
             questions.close()
             reply = question.reply if question is not None else None
             if reply is None or reply.status is QuotaStatus.NOT_ENTITLED:
-                self._note_silent(lender)
+                self._note_silent(issuer)
                 continue
             if reply.status is QuotaStatus.NO_ROOM:
                 raise self._refused(1, reply.retry_after_s, begins=True)
             return
 
-    def spend(self) -> None:
+    def use_permit(self) -> None:
         """Use a credit for a sending that happens right now, waiting for it if need be.
 
         :raises RefusedError: if there is none.
@@ -141,7 +141,7 @@
             credit = self._borrow()
         self._spent = credit
 
-    def not_run(self) -> None:
+    def note_not_run(self) -> None:
         """Note that the last sending surely did not run: its credit serves the next one."""
         self._credit, self._spent = self._spent, None
 
@@ -163,20 +163,22 @@
         view = self._borrower.views.get(self._group)
         return view.members if view is not None else []
 
-    def _lenders(self) -> list[Member]:
+    def _issuers(self) -> list[Member]:
         now_s = self._borrower.now()
         return self._borrower.order.candidates(self._members(), self._tenant, now_s)
 
-    def _ask(self, questions: Questions, lender: Member, count: int, program_size: float) -> None:
+    def _ask(
+        self, questions: PermitRequests, issuer: Member, count: int, program_size: float
+    ) -> None:
         request = TakeQuota(
-            self._group, lender.disk_id, self._tenant, self._limit, count, program_size
+            self._group, issuer.disk_id, self._tenant, self._limit, count, program_size
         )
-        link = self._borrower.links.get(lender.address)
-        questions.add(lender, link, request, self._borrower.now())
+        link = self._borrower.links.get(issuer.address)
+        questions.add(issuer, link, request, self._borrower.now())
 
     def _ask_next(self) -> bool:
         """Ask the next lender; return whether there is one."""
-        left = [lender for lender in self._lenders() if lender.disk_id not in self._asked]
+        left = [issuer for issuer in self._issuers() if issuer.disk_id not in self._asked]
         if not left:
             return False
         self._asked.add(left[0].disk_id)
@@ -184,7 +186,7 @@
         self._ask(self._questions, left[0], count, 0.0)
         return True
 
-    def _borrow(self) -> Credit:
+    def _borrow(self) -> Permit:
         """Return a credit from whichever lender has room.
 
         A lender that is late is not given up: the next one is asked, and whoever answers first
@@ -200,9 +202,9 @@
                 break
             reply = question.reply
             if reply is None or reply.status is QuotaStatus.NOT_ENTITLED:
-                self._note_silent(question.lender)
+                self._note_silent(question.issuer)
             elif reply.status is QuotaStatus.NO_ROOM:
-                self._note_exhausted(question.lender, reply.retry_after_s)
+                self._note_exhausted(question.issuer, reply.retry_after_s)
                 free_in_s = min(free_in_s or reply.retry_after_s, reply.retry_after_s)
             else:
                 credit = self._take(question, reply)
@@ -220,7 +222,7 @@
         is_hopeless = self._borrower.order.is_silent(self._members(), self._borrower.now())
         return LATE_SECONDS if is_hopeless else MOST_WAIT_SECONDS
 
-    def _next_answer(self, end_s: float) -> Question | None:
+    def _next_answer(self, end_s: float) -> PermitRequest | None:
         """Return the next answer, asking one lender more each time that none comes soon."""
         while (left_s := end_s - self._borrower.now()) > 0.0:
             question = self._questions.next(min(self._borrower.late_s, left_s))
@@ -228,15 +230,15 @@
                 return question
             for late in self._questions.open:
                 late.note_late()
-                self._note_silent(late.lender)
+                self._note_silent(late.issuer)
             if not self._ask_next():
                 return self._questions.next(end_s - self._borrower.now())
         return None
 
-    def _take(self, question: Question, reply: QuotaReply) -> Credit | None:
+    def _take(self, question: PermitRequest, reply: QuotaReply) -> Permit | None:
         """Take in what a lender granted; return a credit that may be used now."""
         if not reply.room:
-            self._note_exhausted(question.lender, LATE_SECONDS)
+            self._note_exhausted(question.issuer, LATE_SECONDS)
         first, *others = question.credits()
         for credit in others:
             self._borrower.stock.put(credit)
@@ -251,12 +253,12 @@
         self._questions.close()
         self._asked.clear()
 
-    def _note_silent(self, lender: Member) -> None:
-        self._borrower.order.note_silent(lender, self._borrower.now())
+    def _note_silent(self, issuer: Member) -> None:
+        self._borrower.order.note_silent(issuer, self._borrower.now())
 
-    def _note_exhausted(self, lender: Member, after_s: float) -> None:
+    def _note_exhausted(self, issuer: Member, after_s: float) -> None:
         now_s = self._borrower.now()
-        self._borrower.order.note_exhausted(lender, self._tenant, after_s, now_s)
+        self._borrower.order.note_exhausted(issuer, self._tenant, after_s, now_s)
 
     def _refused(self, asked: int, free_in_s: float, begins: bool) -> RefusedError:
         retry_after_s = after_limit_s(free_in_s)
--- a/yarrowwall/quotas/lender.py
+++ b/yarrowwall/quotas/permit_issuer.py
@@ -18,7 +18,7 @@
     TakeQuota,
     TenantLimit,
 )
-from yarrowwall.quotas.terms import QuotaTerms
+from yarrowwall.quotas.quota_rules import QuotaRules
 from yarrowwall.quotas.window import SlidingWindow
 
 NOT_ENTITLED = QuotaReply(QuotaStatus.NOT_ENTITLED, 0, 0, 0, 0.0)
@@ -45,10 +45,10 @@
     :ivar begun: requests that the programs begun lately are expected to make.
     """
 
-    def __init__(self, terms: QuotaTerms) -> None:
+    def __init__(self, rules: QuotaRules) -> None:
         self.limit = TenantLimit(0, 0.0, 0.0)
-        self.lent = SlidingWindow(terms.lent_s)
-        self.begun = SlidingWindow(terms.window_s)
+        self.lent = SlidingWindow(rules.counted_s)
+        self.begun = SlidingWindow(rules.window_s)
 
     def take_limit(self, told: TenantLimit) -> None:
         """Take in a limit unless it is older than the one that is known."""
@@ -56,7 +56,7 @@
             self.limit = told
 
 
-class Lender:
+class PermitIssuer:
     """One replica's part of all tenants' limits.
 
     :param lenders: into how many parts each limit is divided.
@@ -65,14 +65,14 @@
     """
 
     def __init__(
-        self, terms: QuotaTerms, lenders: int, rank_of: Callable[[str, float], int]
+        self, rules: QuotaRules, issuers: int, rank_of: Callable[[str, float], int]
     ) -> None:
-        self._terms = terms
-        self._lenders = lenders
+        self._rules = rules
+        self._issuers = issuers
         self._rank_of = rank_of
         self._books: dict[str, _Book] = {}
 
-    def take(self, request: TakeQuota, clock: Clock) -> Outcome:
+    def issue(self, request: TakeQuota, clock: Clock) -> Outcome:
         """Lend, if there is room."""
         book = self._book(request.tenant)
         book.take_limit(request.limit)
@@ -84,7 +84,7 @@
         if not request.count:
             return Outcome(QuotaReply(QuotaStatus.GRANTED, 0, 0, 0, 0.0))
         rank = self._rank_of(request.tenant, now_s)
-        share = self._terms.share(book.limit, self._lenders, rank)
+        share = self._rules.share(book.limit, self._issuers, rank)
         room = math.floor(share - book.lent.total(now_s))
         if room < 1:
             return Outcome(_no_room(book.lent.room_after_s(1, share, now_s)))
@@ -98,13 +98,13 @@
 
         One program is always welcome, however large it is expected to be.
         """
-        most = max(self._terms.agreed(book.limit), size)
+        most = max(self._rules.agreed(book.limit), size)
         wait_s = book.begun.room_after_s(size, most, now_s)
         if wait_s <= 0.0:
             book.begun.add(size, now_s)
         return wait_s
 
-    def give_back(self, request: ReturnQuota) -> None:
+    def return_permit(self, request: ReturnQuota) -> None:
         """Take back what was not used. The disk still counts it, which errs to the safe side."""
         book = self._books.get(request.tenant)
         if book is not None:
@@ -113,7 +113,7 @@
     def _book(self, tenant: str) -> _Book:
         book = self._books.get(tenant)
         if book is None:
-            book = self._books[tenant] = _Book(self._terms)
+            book = self._books[tenant] = _Book(self._rules)
         return book
 
     def drop_idle(self, now_s: float) -> None:
@@ -132,7 +132,7 @@
     def restore(self, record: QuotaLent, clock: Clock) -> None:
         """Take in a record that was found on disk."""
         age_s = clock.age_s(record.wall_s, record.steady_s)
-        if age_s > self._terms.lent_s:
+        if age_s > self._rules.counted_s:
             return
         book = self._book(record.tenant)
         book.take_limit(record.limit)
@@ -146,6 +146,6 @@
             for age_s, count in book.lent.entries(clock.steady_s)
         ]
 
-    def lent_by_tenant(self, now_s: float) -> dict[str, int]:
+    def issued_by_tenant(self, now_s: float) -> dict[str, int]:
         """Return the requests that count against each tenant's part now."""
         return {tenant: int(book.lent.total(now_s)) for tenant, book in self._books.items()}
--- a/yarrowwall/quotas/questions.py
+++ b/yarrowwall/quotas/permit_requests.py
@@ -7,12 +7,12 @@
 
 from yarrowwall.messages.quotas import QuotaReply, TakeQuota
 from yarrowwall.messages.replicated import Member
-from yarrowwall.quotas.credits import Credit
-from yarrowwall.quotas.terms import CREDIT_SECONDS
+from yarrowwall.quotas.permits import Permit
+from yarrowwall.quotas.quota_rules import PERMIT_SECONDS
 from yarrowwall.replication.rpc import Link
 
 
-class Question:
+class PermitRequest:
     """A question to one lender.
 
     :param arrived: called with the question once its answer is there.
@@ -21,14 +21,14 @@
 
     def __init__(
         self,
-        lender: Member,
+        issuer: Member,
         link: Link,
         request: TakeQuota,
         now_s: float,
-        arrived: Callable[["Question"], None],
-        answered: Callable[["Question"], None],
+        arrived: Callable[["PermitRequest"], None],
+        answered: Callable[["PermitRequest"], None],
     ) -> None:
-        self.lender = lender
+        self.issuer = issuer
         self.asked_at_s = now_s
         self.reply: QuotaReply | None = None
         self._arrived = arrived
@@ -55,42 +55,42 @@
         self._is_given_up = True
         self._give_back()
 
-    def credits(self) -> list[Credit]:
+    def credits(self) -> list[Permit]:
         """Return the credits that the answer brings, once."""
         reply, self.reply = self.reply, None
         if reply is None:
             return []
-        expires_at_s = self.asked_at_s + CREDIT_SECONDS
-        return [Credit(self.lender, self._request, reply.ticket, expires_at_s)] * reply.granted
+        expires_at_s = self.asked_at_s + PERMIT_SECONDS
+        return [Permit(self.issuer, self._request, reply.ticket, expires_at_s)] * reply.granted
 
     def _give_back(self) -> None:
         for credit in self.credits():
             self._link.tell(credit.returned())
 
 
-class Questions:
+class PermitRequests:
     """Questions of one attempt to several lenders, whose answers are taken as they come.
 
     :param answered: called with each question that was answered, late as it may be.
     """
 
-    def __init__(self, answered: Callable[[Question], None]) -> None:
+    def __init__(self, answered: Callable[[PermitRequest], None]) -> None:
         self._answered = answered
-        self.open: list[Question] = []
-        self._arrived: deque[Question] = deque()
+        self.open: list[PermitRequest] = []
+        self._arrived: deque[PermitRequest] = deque()
         self._wakeup = Event()
 
-    def add(self, lender: Member, link: Link, request: TakeQuota, now_s: float) -> None:
+    def add(self, issuer: Member, link: Link, request: TakeQuota, now_s: float) -> None:
         """Ask a lender."""
-        question = Question(lender, link, request, now_s, self._take, self._answered)
+        question = PermitRequest(issuer, link, request, now_s, self._take, self._answered)
         self.open.append(question)
 
-    def _take(self, question: Question) -> None:
+    def _take(self, question: PermitRequest) -> None:
         self._arrived.append(question)
         if not self._wakeup.ready():
             self._wakeup.send()
 
-    def next(self, timeout_s: float) -> Question | None:
+    def next(self, timeout_s: float) -> PermitRequest | None:
         """Return a question whose answer is there; None if none comes in time."""
         if not self._arrived and timeout_s > 0.0:
             self._wakeup = Event()
--- a/yarrowwall/quotas/lending.py
+++ b/yarrowwall/quotas/permit_service.py
@@ -6,13 +6,13 @@
 from yarrowwall.clocks import Clock, read_clock
 from yarrowwall.decisions import DecisionLog
 from yarrowwall.messages.quotas import LendingBegun, QuotaReply, ReturnQuota, TakeQuota
-from yarrowwall.quotas.entitlement import Entitlement
-from yarrowwall.quotas.lender import NOT_ENTITLED, Lender
+from yarrowwall.quotas.issuer_lease import IssuerLease
+from yarrowwall.quotas.permit_issuer import NOT_ENTITLED, PermitIssuer
 from yarrowwall.quotas.replica_disk import ReplicaDisk
 from yarrowwall.replication.peers import ReplicaPeers
 
 
-class QuotaLending:
+class PermitService:
     """Lends this replica's part of tenants' limits while it is entitled to.
 
     :param clock: reads the machine's clocks.
@@ -32,24 +32,24 @@
         self._was_entitled = False
 
     @property
-    def _lender(self) -> Lender:
-        return self._disk.lender
+    def _issuer(self) -> PermitIssuer:
+        return self._disk.issuer
 
     @property
-    def _entitlement(self) -> Entitlement:
-        return self._disk.entitlement
+    def _lease(self) -> IssuerLease:
+        return self._disk.lease
 
-    def take(self, request: TakeQuota, reply: Callable[[QuotaReply], None]) -> None:
+    def issue(self, request: TakeQuota, reply: Callable[[QuotaReply], None]) -> None:
         """Lend if this replica may, and answer."""
         clock = self._clock()
         is_meant = request.disk_id == self._disk.replica.disk_id
-        if not is_meant or request.group != self._entitlement.group:
+        if not is_meant or request.group != self._lease.group:
             reply(NOT_ENTITLED)
             return
         if not self._is_entitled(clock.steady_s):
             reply(NOT_ENTITLED)
             return
-        outcome = self._lender.take(request, clock)
+        outcome = self._issuer.issue(request, clock)
         if outcome.persist is None:
             reply(outcome.reply)
             return
@@ -59,24 +59,24 @@
             lambda: reply(NOT_ENTITLED),
         )
 
-    def give_back(self, request: ReturnQuota) -> None:
+    def return_permit(self, request: ReturnQuota) -> None:
         """Take back what a gateway did not use."""
         if request.disk_id == self._disk.replica.disk_id:
-            self._lender.give_back(request)
+            self._issuer.return_permit(request)
 
     def _is_entitled(self, now_s: float) -> bool:
-        is_entitled = self._entitlement.holds(self._peers.vouchers(), now_s)
+        is_entitled = self._lease.holds(self._peers.confirmations(), now_s)
         if is_entitled != self._was_entitled:
             self._was_entitled = is_entitled
             self._log.write(decisions.LendingChanged(self._disk.replica.epoch, is_entitled))
         return is_entitled
 
-    def note_begun(self) -> None:
+    def record_begun(self) -> None:
         """Note on disk that lending has begun, so that a new start need not wait again."""
-        epoch = self._entitlement.begin(self._clock().steady_s)
+        epoch = self._lease.begin(self._clock().steady_s)
         if epoch is not None:
             self._disk.persist([LendingBegun(epoch)])
 
-    def forget_idle(self) -> None:
+    def drop_expired(self) -> None:
         """Forget what counts no more."""
-        self._lender.drop_idle(self._clock().steady_s)
+        self._issuer.drop_idle(self._clock().steady_s)
--- a/yarrowwall/quotas/credits.py
+++ b/yarrowwall/quotas/permits.py
@@ -18,14 +18,14 @@
 LEAST_LEFT_SECONDS = 0.05
 
 
-class Credit(NamedTuple):
+class Permit(NamedTuple):
     """The permission to send one request of a tenant.
 
     :param request: the question that was answered by it.
     :param ticket: by which the lender takes it back.
     """
 
-    lender: Member
+    issuer: Member
     request: TakeQuota
     ticket: int
     expires_at_s: float
@@ -36,16 +36,16 @@
         return ReturnQuota(request.group, request.disk_id, request.tenant, self.ticket)
 
 
-class CreditStock:
+class PermitPool:
     """Credits that a gateway holds for the next requests of tenants."""
 
     def __init__(self, links: LinkTable, now: Callable[[], float]) -> None:
         self._links = links
         self._now = now
-        self._credits: dict[str, list[Credit]] = defaultdict(list)
+        self._credits: dict[str, list[Permit]] = defaultdict(list)
         self._asked_at_s: dict[str, float] = {}
 
-    def take(self, tenant: str) -> Credit | None:
+    def take(self, tenant: str) -> Permit | None:
         """Return a credit that may still be used for a while; None if there is none."""
         credits = self._credits.get(tenant)
         while credits:
@@ -55,13 +55,13 @@
             self.give_back(credit)
         return None
 
-    def put(self, credit: Credit) -> None:
+    def put(self, credit: Permit) -> None:
         """Keep a credit for the next request."""
         self._credits[credit.request.tenant].append(credit)
 
-    def give_back(self, credit: Credit) -> None:
+    def give_back(self, credit: Permit) -> None:
         """Let the lender lend it to others."""
-        self._links.get(credit.lender.address).tell(credit.returned())
+        self._links.get(credit.issuer.address).tell(credit.returned())
 
     def wanted(self, tenant: str) -> int:
         """Return for how many requests to ask at once."""
--- a/yarrowwall/quotas/terms.py
+++ b/yarrowwall/quotas/quota_rules.py
@@ -7,16 +7,16 @@
 
 #: Seconds after a question for a credit in which a request that got it may be sent. Credits are
 #: used at once mostly; this bounds for how long a lender has to count them beyond the window.
-CREDIT_SECONDS = 0.5
+PERMIT_SECONDS = 0.5
 #: Seconds that a sent request may take to arrive at its server: many times the way between
 #: zones (1.4 ms), for links that carry much.
-WAY_SECONDS = 0.2
+DELIVERY_SECONDS = 0.2
 #: Part by which the clocks of a lender and of whoever measures the window may run apart; a
 #: quartz runs wrong by less than a thousandth.
 CLOCK_DRIFT = 0.01
 
 
-class QuotaTerms(NamedTuple):
+class QuotaRules(NamedTuple):
     """How limits are measured, the same for all tenants.
 
     :param window_s: any span of so many seconds has to keep within the limit.
@@ -29,9 +29,9 @@
     slack: float = 0.0
 
     @property
-    def lent_s(self) -> float:
+    def counted_s(self) -> float:
         """Return for how many seconds a request counts after it was lent."""
-        return (self.window_s + CREDIT_SECONDS + WAY_SECONDS) * (1.0 + CLOCK_DRIFT)
+        return (self.window_s + PERMIT_SECONDS + DELIVERY_SECONDS) * (1.0 + CLOCK_DRIFT)
 
     def agreed(self, limit: TenantLimit) -> float:
         """Return the requests of a window that the operators agreed with the tenant."""
@@ -41,7 +41,7 @@
         """Return the requests of a window beyond which the limit is broken."""
         return self.agreed(limit) * (1.0 + self.overage) + self.slack
 
-    def share(self, limit: TenantLimit, lenders: int, rank: int) -> int:
+    def share(self, limit: TenantLimit, issuers: int, rank: int) -> int:
         """Return the requests of a window that one of a number of lenders may lend.
 
         What does not divide evenly goes to the lenders of the first ranks, one each: a limit of
@@ -49,5 +49,5 @@
 
         :param rank: the lender's place among them for this tenant, from 0.
         """
-        base, rest = divmod(math.floor(self.most(limit)), lenders)
+        base, rest = divmod(math.floor(self.most(limit)), issuers)
         return base + (1 if rank < rest else 0)
--- a/yarrowwall/quotas/replica_disk.py
+++ b/yarrowwall/quotas/replica_disk.py
@@ -9,9 +9,9 @@
 from yarrowwall.decisions import DecisionLog
 from yarrowwall.messages.quotas import LendingBegun, QuotaLent
 from yarrowwall.messages.replicated import ViewKept
-from yarrowwall.quotas.entitlement import Entitlement
-from yarrowwall.quotas.lender import Lender
-from yarrowwall.quotas.terms import QuotaTerms
+from yarrowwall.quotas.issuer_lease import IssuerLease
+from yarrowwall.quotas.permit_issuer import PermitIssuer
+from yarrowwall.quotas.quota_rules import QuotaRules
 from yarrowwall.replication.disk import DiskRecord, RecordDisk
 from yarrowwall.replication.replica import LogRecord
 
@@ -19,8 +19,8 @@
 class QuotaSettings(NamedTuple):
     """How limits are measured, and into how many parts each is divided."""
 
-    terms: QuotaTerms
-    lenders: int
+    rules: QuotaRules
+    issuers: int
 
 
 class ReplicaDisk(RecordDisk):
@@ -37,30 +37,30 @@
     def _restore_beside(
         self, disk_id: str, records: Iterator[DiskRecord], clock: Clock
     ) -> Iterator[LogRecord]:
-        self.entitlement = Entitlement(disk_id, self._quotas.terms.lent_s)
-        self.lender = Lender(self._quotas.terms, self._quotas.lenders, self.entitlement.rank)
+        self.lease = IssuerLease(disk_id, self._quotas.rules.counted_s)
+        self.issuer = PermitIssuer(self._quotas.rules, self._quotas.issuers, self.lease.rank)
         return self._restore_quotas(records, clock)
 
     def _restore_quotas(self, records: Iterator[DiskRecord], clock: Clock) -> Iterator[LogRecord]:
         """Take in what concerns lending; return what concerns records."""
         for record in records:
             if isinstance(record, QuotaLent):
-                self.lender.restore(record, clock)
+                self.issuer.restore(record, clock)
                 continue
             if isinstance(record, LendingBegun):
-                self.entitlement.restore_begun(clock.steady_s)
+                self.lease.restore_begun(clock.steady_s)
                 continue
             if isinstance(record, ViewKept):
-                self.entitlement.take_view(record.view, clock.steady_s)
+                self.lease.take_view(record.view, clock.steady_s)
             yield record
 
     def _snapshot(self) -> list[DiskRecord]:
         found = super()._snapshot()
-        if self.entitlement.has_begun:
+        if self.lease.has_begun:
             found.append(LendingBegun(self.replica.epoch))
-        return found + list(self.lender.snapshot(read_clock()))
+        return found + list(self.issuer.snapshot(read_clock()))
 
     def _now_durable(self, record: DiskRecord) -> None:
         super()._now_durable(record)
         if isinstance(record, ViewKept):
-            self.entitlement.take_view(record.view, time.monotonic())
+            self.lease.take_view(record.view, time.monotonic())
