--- a/features/steps/spent_budget_steps.py
+++ b/features/steps/spent_budget_steps.py
@@ -9,8 +9,8 @@
 from behave import given, then, when
 from behave.runner import Context
 
-from yarrowwall.budgets.budget_requests import wanted_by
-from yarrowwall.budgets.group_reach import PROBE_SECONDS, GroupReach
+from yarrowwall.budgets.budget_requests import claim_for
+from yarrowwall.budgets.group_reachability import PROBE_SECONDS, GroupReachability
 from yarrowwall.budgets.ledger import ReplicatedLedger
 from yarrowwall.budgets.reservations import Reservations
 from yarrowwall.budgets.zone_groups import ZoneGroups
@@ -124,7 +124,7 @@
     log: Any = _Log()
     client: Any = groups
     queues: Any = _Queues(groups)
-    reach = GroupReach(groups.must_answer, log, lambda: 0.0)
+    reach = GroupReachability(groups.must_answer, log, lambda: 0.0)
     context.reservations = Reservations(client, ZoneGroups(OWN_ZONE, _views()), reach, queues, log)
     context.turns = 0
 
@@ -134,7 +134,7 @@
     context.turns += 1
     program = ProgramContext("looper", context.budget, MOST_TOKENS, None, None)
     attempt = f"attempt-{context.turns:03}"
-    wanted = wanted_by("looper", program, attempt, RETENTION_SECONDS, COMMON)
+    wanted = claim_for("looper", program, attempt, RETENTION_SECONDS, COMMON)
     try:
         reserved = context.reservations.reserve(wanted, context.budget)
     except BudgetExhaustedError:
@@ -222,7 +222,7 @@
 @then("the turn gets all that it may emit within {limit_s:f} s")
 def gets_the_rest(context: Context, limit_s: float) -> None:
     context.end_s = time.monotonic() + limit_s
-    context.grant.cover([Event(b"", str(number)) for number in range(MOST_TOKENS)])
+    context.grant.ensure_granted([Event(b"", str(number)) for number in range(MOST_TOKENS)])
     assert COMMON not in context.groups.fails_once
 
 
@@ -273,7 +273,7 @@
 def gets_some_at_a_time(context: Context, tokens: int, limit_s: float) -> None:
     context.end_s = time.monotonic() + limit_s
     for count in range(1, tokens + 1):
-        context.grant.cover([Event(b"", str(number)) for number in range(count)])
+        context.grant.ensure_granted([Event(b"", str(number)) for number in range(count)])
 
 
 @then("no more than {budget:d} tokens are granted to both")
@@ -297,6 +297,6 @@
 @then("the next turn is granted all that it may emit")
 def granted_in_full(context: Context) -> None:
     program = ProgramContext("looper", context.budget, MOST_TOKENS, None, None)
-    wanted = wanted_by("looper", program, "in-full", RETENTION_SECONDS, COMMON)
+    wanted = claim_for("looper", program, "in-full", RETENTION_SECONDS, COMMON)
     reserved = context.reservations.reserve(wanted, context.budget)
     assert reserved.granted == MOST_TOKENS, reserved
--- a/features/steps/turn_keep_steps.py
+++ b/features/steps/turn_keep_steps.py
@@ -5,7 +5,7 @@
 from behave import given, then, when
 from behave.runner import Context
 
-from yarrowwall.budgets.group_reach import GroupReach
+from yarrowwall.budgets.group_reachability import GroupReachability
 from yarrowwall.budgets.turn_store import TurnStore
 from yarrowwall.budgets.turns import Turn
 from yarrowwall.budgets.zone_groups import ZoneGroups
@@ -50,12 +50,12 @@
     log: Any = _Log()
     queues: Any = None
     zones = ZoneGroups(ZONE, views)
-    assert zones.keeps_turns
+    assert zones.stores_turns
 
     def now() -> float:
         return context.client.now_s
 
-    context.reach = GroupReach(_probe, log, now)
+    context.reach = GroupReachability(_probe, log, now)
     context.turns = TurnStore(client, lambda key: COMMON, zones, context.reach, queues, log, now)
 
 
@@ -71,7 +71,7 @@
 
 @then("its common group counts as {reach}")
 def counts_as(context: Context, reach: str) -> None:
-    assert context.reach.is_out(COMMON) is (reach == "out of reach")
+    assert context.reach.is_unreachable(COMMON) is (reach == "out of reach")
 
 
 @then("it is given up no later than {most_s:f} s behind that time")
--- a/features/support/zone_model.py
+++ b/features/support/zone_model.py
@@ -474,7 +474,7 @@
                 eventlet.sleep(self.random.uniform(0.0, 0.05))
                 data = f"{turn.attempt_id}.{number}"
                 passed.append(Event(f"data: {data}\n\n".encode(), str(number)))
-                grant.cover(passed)
+                grant.ensure_granted(passed)
                 if gateway.is_dead:
                     return
                 turn.handed += TOKENS_PER_EVENT
--- a/features/support/zone_mutants.py
+++ b/features/support/zone_mutants.py
@@ -6,10 +6,10 @@
 from unittest.mock import patch
 
 from yarrowwall.budgets import budget_requests, reservations
-from yarrowwall.budgets.budget_requests import Reserved
-from yarrowwall.budgets.held_tokens import HeldTokens
+from yarrowwall.budgets.budget_requests import Reservation
 from yarrowwall.budgets.ledger import LedgerGrant, ReplicatedLedger
 from yarrowwall.budgets.reservations import Reservations
+from yarrowwall.budgets.turn_reservations import TurnReservations
 from yarrowwall.budgets.turn_store import TurnStore, _Found
 from yarrowwall.messages.replicated import StoredRecord
 from yarrowwall.policy import budget_parts
@@ -76,10 +76,10 @@
 
 
 def _more_without_a_claim(
-    self: ReplicatedLedger, held: HeldTokens, budget: int, needed: int, end: Any
+    self: ReplicatedLedger, held: TurnReservations, budget: int, needed: int, end: Any
 ) -> None:
     claim = held.next_claim(held.lacked)
-    held.add(Reserved(claim, {claim.common: claim.tokens}, claim.tokens, "", False))
+    held.add(Reservation(claim, {claim.common: claim.tokens}, claim.tokens, "", False))
 
 
 def _kept_in_memory(self: TurnStore, keeping: Any, own: int, wait_s: float) -> None:
@@ -107,7 +107,7 @@
         Reservations, "_record", _lowers_too_far
     ),
     "passes on more than was granted": lambda: patch.object(
-        LedgerGrant, "cover", lambda self, passed: None
+        LedgerGrant, "ensure_granted", lambda self, passed: None
     ),
     "goes on beyond a short grant without a claim": lambda: patch.object(
         ReplicatedLedger, "reserve_more", _more_without_a_claim
@@ -125,7 +125,7 @@
         TurnStore, "_keep_in_zone", _kept_in_memory
     ),
     "leaves no trace of turns that a zone served": lambda: patch.object(
-        budget_requests.GroupHeld, "is_blank", property(lambda self: self.tokens == 0)
+        budget_requests.GroupState, "is_blank", property(lambda self: self.tokens == 0)
     ),
     "takes one disk of the zone for enough": lambda: patch.object(
         quorum_client,
--- a/yarrowwall/budgets/budget_requests.py
+++ b/yarrowwall/budgets/budget_requests.py
@@ -24,7 +24,7 @@
 _SPENT_PREFIX = "budget-spent/"
 
 
-class Wanted(NamedTuple):
+class TokenClaim(NamedTuple):
     """Tokens that a turn wants.
 
     :param program_id: the program, as one of its tenant's.
@@ -44,17 +44,19 @@
     given_up: frozenset[str] = frozenset()
 
 
-def wanted_by(
+def claim_for(
     program_id: str, program: ProgramContext, attempt_id: str, retention: float, common: int
-) -> Wanted:
+) -> TokenClaim:
     """Return what a turn of a program wants."""
     key = f"{_BUDGET_PREFIX}{program_id}/{attempt_id}"
-    return Wanted(
+    return TokenClaim(
         program_id, program.program_id, attempt_id, key, program.most_tokens, retention, common
     )
 
 
-def further_claim(wanted: Wanted, tokens: int, number: int, given_up: Iterable[str]) -> Wanted:
+def further_claim(
+    wanted: TokenClaim, tokens: int, number: int, given_up: Iterable[str]
+) -> TokenClaim:
     """Return what a turn wants beside its first claim, as another turn would.
 
     :param number: of the claim: those that were given up are settled, so each has a key of its own.
@@ -64,7 +66,7 @@
     return wanted._replace(key=key, tokens=tokens, given_up=frozenset(given_up))
 
 
-class Reserved(NamedTuple):
+class Reservation(NamedTuple):
     """A granted reservation, and what it tells of its program.
 
     :param pieces: tokens granted by each group.
@@ -73,7 +75,7 @@
     :param is_first: whether the program surely emitted nothing, and nothing of it is under way.
     """
 
-    wanted: Wanted
+    wanted: TokenClaim
     pieces: dict[int, int]
     granted: int
     last_server: str
@@ -85,7 +87,7 @@
         return self.granted < self.wanted.tokens
 
 
-class GroupHeld(NamedTuple):
+class GroupState(NamedTuple):
     """What a group told of a program beside one reservation.
 
     :param amounts: by key, all that was met so far.
@@ -107,9 +109,9 @@
         return self.tokens == 0 and not any(key.startswith(TRACE_PREFIX) for key in self.amounts)
 
 
-def group_held(amounts: dict[str, Amount], note: str) -> GroupHeld:
+def group_state(amounts: dict[str, Amount], note: str) -> GroupState:
     """Return what a group told, given the other reservations that it holds."""
-    return GroupHeld(amounts, note, sum([amount.tokens for amount in amounts.values()]))
+    return GroupState(amounts, note, sum([amount.tokens for amount in amounts.values()]))
 
 
 class BudgetRequest:
@@ -119,12 +121,12 @@
     :param zones: how many zones' groups may be asked beside the common one.
     """
 
-    def __init__(self, wanted: Wanted, parts: Parts, zones: int) -> None:
+    def __init__(self, wanted: TokenClaim, parts: Parts, zones: int) -> None:
         self.wanted = wanted
         self.common = wanted.common
         self._zones = zones
         self._parts = parts
-        self.held: dict[int, GroupHeld] = {}
+        self.held: dict[int, GroupState] = {}
         #: What the turn may take of each part that was asked.
         self.pieces: dict[int, int] = {}
         self.asked: dict[int, int] = {}
@@ -177,7 +179,7 @@
     def _mark_prefix(self) -> str:
         return f"{_SPENT_PREFIX}{self.wanted.program_id}/"
 
-    def take(self, group: int, held: GroupHeld) -> None:
+    def take(self, group: int, held: GroupState) -> None:
         """Take in what a group told."""
         self.held[group] = held
         self.pieces = pieces_of(self.readings, self.wanted.tokens)
--- a/yarrowwall/budgets/group_reach.py
+++ b/yarrowwall/budgets/group_reachability.py
@@ -20,7 +20,7 @@
 PROVED_SECONDS = 2.0
 
 
-class GroupReach:
+class GroupReachability:
     """The groups that are out of reach.
 
     :param probe: asks a group for a quorum's answer; raises NoQuorumError if there is none.
@@ -37,17 +37,17 @@
         self._reached_at: dict[int, float] = {}
         self._checked: set[int] = set()
         #: Called with each group that fell out of reach.
-        self.on_out: Callable[[int], None] = lambda group: None
+        self.on_unreachable: Callable[[int], None] = lambda group: None
 
-    def is_out(self, group: int) -> bool:
+    def is_unreachable(self, group: int) -> bool:
         """Return whether a group was out of reach when it was asked last."""
         return group in self._out_since
 
-    def out_seconds(self, group: int) -> float:
+    def unreachable_seconds(self, group: int) -> float:
         """Return for how many seconds a group has been out of reach; 0 if it is not."""
         return self._now() - self._out_since.get(group, self._now())
 
-    def silent_seconds(self, group: int) -> float:
+    def seconds_since_answer(self, group: int) -> float:
         """Return the seconds since a quorum of a group was known to answer; endless if never."""
         return self._now() - self._reached_at.get(group, -math.inf)
 
@@ -55,11 +55,11 @@
         """Note that a quorum of a group has just answered."""
         self._reached_at[group] = self._now()
 
-    def is_proved(self, group: int | None) -> bool:
+    def has_answered_recently(self, group: int | None) -> bool:
         """Return whether a group answered when it was asked last, a moment ago at most."""
-        if group is None or self.is_out(group):
+        if group is None or self.is_unreachable(group):
             return False
-        return self.silent_seconds(group) < PROVED_SECONDS
+        return self.seconds_since_answer(group) < PROVED_SECONDS
 
     def check(self, group: int) -> None:
         """Ask a group now, unless that is being done."""
@@ -82,7 +82,7 @@
         self._out_since[group] = self._now()
         self._log.write(decisions.GroupReachChanged(group, False, 0.0))
         eventlet.spawn_n(self._ask_until_back, group)
-        self.on_out(group)
+        self.on_unreachable(group)
 
     def _ask_until_back(self, group: int) -> None:
         while True:
--- a/yarrowwall/budgets/ledger.py
+++ b/yarrowwall/budgets/ledger.py
@@ -6,12 +6,12 @@
 import eventlet
 
 from yarrowwall import decisions
-from yarrowwall.budgets.budget_requests import Reserved, wanted_by
-from yarrowwall.budgets.group_reach import GroupReach
-from yarrowwall.budgets.held_tokens import HeldTokens
+from yarrowwall.budgets.budget_requests import Reservation, claim_for
+from yarrowwall.budgets.group_reachability import GroupReachability
 from yarrowwall.budgets.reservations import Reservations
 from yarrowwall.budgets.settlements import SettlementQueues
-from yarrowwall.budgets.turn_store import END_MARGIN_SECONDS, Placed, TurnStore
+from yarrowwall.budgets.turn_reservations import TurnReservations
+from yarrowwall.budgets.turn_store import END_MARGIN_SECONDS, PlacedRecord, TurnStore
 from yarrowwall.budgets.turns import Turn, output_of, prompt_body
 from yarrowwall.budgets.zone_groups import ZoneGroups
 from yarrowwall.decisions import DecisionLog
@@ -66,8 +66,8 @@
         self._log = log
         self._now = now
         self._zones = ZoneGroups(zone, views)
-        self._reach = GroupReach(self._ask, log, now)
-        self._reach.on_out = self._check_others
+        self._reach = GroupReachability(self._ask, log, now)
+        self._reach.on_unreachable = self._check_others
         self._queues = SettlementQueues(client, self._reach)
         self._reservations = Reservations(client, self._zones, self._reach, self._queues, log)
         self._turns = TurnStore(
@@ -89,7 +89,7 @@
         if self._client.failing_seconds < UNREACHABLE_SECONDS:
             return True
         groups = [*range(self._views.count), self._zones.own]
-        return any(self._reach.is_proved(group) for group in groups)
+        return any(self._reach.has_answered_recently(group) for group in groups)
 
     @property
     def unreachable_s(self) -> float:
@@ -98,7 +98,7 @@
 
     def probe(self) -> None:
         """If operations fail, find out whether they still do."""
-        if self._zones.parts:
+        if self._zones.part_count:
             self._probe_groups()
         elif self._client.failing_seconds and self._views.count:
             with contextlib.suppress(NoQuorumError):
@@ -113,12 +113,12 @@
         if is_failing and own is not None:
             groups.append(own)
         for group in groups:
-            if self._reach.silent_seconds(group) > most_s:
+            if self._reach.seconds_since_answer(group) > most_s:
                 self._reach.check(group)
 
     def _check_others(self, out: int) -> None:
         """Ask all other groups at once: what cut one off may have cut others off."""
-        for group in [*range(self._views.count), *self._zones.in_order]:
+        for group in [*range(self._views.count), *self._zones.own_first]:
             if group != out:
                 eventlet.spawn_n(self._reach.check, group)
 
@@ -127,7 +127,7 @@
 
         :raises NoQuorumError: if it can not.
         """
-        wait_s = PROBE_WAIT_SECONDS if self._zones.parts else OPERATION_SECONDS
+        wait_s = PROBE_WAIT_SECONDS if self._zones.part_count else OPERATION_SECONDS
         self._client.check(group, wait_s)
 
     def group_of(self, key: str) -> int:
@@ -169,18 +169,18 @@
 
     def _reserve(
         self, attempt: Attempt, program: ProgramContext, budget: int, route: Route
-    ) -> Reserved:
+    ) -> Reservation:
         """Return a granted reservation.
 
         :raises BudgetExhaustedError: if the budget does not hold it.
         """
         program_id = _scoped(attempt.tenant, program.program_id)
         common = self.group_of(program_id)
-        wanted = wanted_by(program_id, program, attempt.attempt_id, route.retention_s, common)
+        wanted = claim_for(program_id, program, attempt.attempt_id, route.retention_s, common)
         return self._reservations.reserve(wanted, budget)
 
     def reserve_more(
-        self, held: HeldTokens, budget: int, needed: int, end: Callable[[], float]
+        self, held: TurnReservations, budget: int, needed: int, end: Callable[[], float]
     ) -> None:
         """Reserve what a turn lacks; ask again once more groups are in reach.
 
@@ -200,7 +200,7 @@
                 ):
                     raise StoreUncertainError(reason) from error
 
-    def _reserve_rest(self, held: HeldTokens, budget: int, needed: int) -> Reserved:
+    def _reserve_rest(self, held: TurnReservations, budget: int, needed: int) -> Reservation:
         """Reserve all that a turn lacks, or what it needs at once if no more is to be had.
 
         :raises BudgetExhaustedError: if the budget does not hold that either.
@@ -216,7 +216,9 @@
                 pass
         return self._reservations.reserve(held.next_claim(needed), budget)
 
-    def _is_worth_asking(self, held: HeldTokens, asked: set[int], end: Callable[[], float]) -> bool:
+    def _is_worth_asking(
+        self, held: TurnReservations, asked: set[int], end: Callable[[], float]
+    ) -> bool:
         """Wait until a turn may ask again; return False once its time is over.
 
         Each claim that is given up leaves a record, so it asks only if that may help.
@@ -232,10 +234,10 @@
 
     def _in_reach(self, common: int) -> set[int]:
         """Return the groups that a turn may ask now."""
-        groups = self._zones.beside(common)
-        return {group for group in groups if not self._reach.is_out(group)}
+        groups = self._zones.common_first(common)
+        return {group for group in groups if not self._reach.is_unreachable(group)}
 
-    def settle(self, held: HeldTokens, tokens: int, server_id: str) -> None:
+    def settle(self, held: TurnReservations, tokens: int, server_id: str) -> None:
         """Replace a turn's reservations by what was emitted, soon."""
         for reserved, spent in held.spread(tokens):
             self._reservations.settle(reserved, spent, server_id)
@@ -246,7 +248,7 @@
         self,
         turn: Turn,
         route: Route,
-        held: HeldTokens | None,
+        held: TurnReservations | None,
         tokens: int,
         server_id: str,
         end: Callable[[], float],
@@ -256,7 +258,7 @@
         :param end: tells when the request's time is over, on the monotonic clock.
         :raises StoreUncertainError: if no quorum took it in time.
         """
-        settled: list[Placed] = []
+        settled: list[PlacedRecord] = []
         for reserved, spent in held.spread(tokens) if held is not None else ():
             settled += self._reservations.settled(reserved, spent, server_id)
         self._turns.keep(turn, route.retention_s, settled, end)
@@ -274,7 +276,7 @@
         attempt: Attempt,
         route: Route,
         body: bytes,
-        reserved: Reserved | None,
+        reserved: Reservation | None,
         tokens_per_event: int,
         end: Callable[[], float],
     ) -> None:
@@ -287,12 +289,12 @@
         self._ledger = ledger
         self._attempt = attempt
         self._route = route
-        self._held = HeldTokens(reserved) if reserved is not None else None
+        self._held = TurnReservations(reserved) if reserved is not None else None
         self._tokens_per_event = tokens_per_event
         self._end = end
         self._is_settled = False
 
-    def cover(self, passed: list[Event]) -> None:
+    def ensure_granted(self, passed: list[Event]) -> None:
         """Reserve what events take beyond what was granted, before they are passed on.
 
         :raises StoreUncertainError: if less than the turn's most was granted, they exceed it, and
--- a/yarrowwall/budgets/reservations.py
+++ b/yarrowwall/budgets/reservations.py
@@ -19,12 +19,12 @@
 from yarrowwall.budgets.budget_requests import (
     TRACE_PREFIX,
     BudgetRequest,
-    GroupHeld,
-    Reserved,
-    Wanted,
-    group_held,
+    GroupState,
+    Reservation,
+    TokenClaim,
+    group_state,
 )
-from yarrowwall.budgets.group_reach import GroupReach
+from yarrowwall.budgets.group_reachability import GroupReachability
 from yarrowwall.budgets.settlements import SettlementQueues
 from yarrowwall.budgets.zone_groups import ZoneGroups
 from yarrowwall.decisions import DecisionLog
@@ -72,7 +72,7 @@
         self,
         client: QuorumClient,
         zones: ZoneGroups,
-        reach: GroupReach,
+        reach: GroupReachability,
         queues: SettlementQueues,
         log: DecisionLog,
     ) -> None:
@@ -82,13 +82,15 @@
         self._queues = queues
         self._log = log
 
-    def reserve(self, wanted: Wanted, budget: int) -> Reserved:
+    def reserve(self, wanted: TokenClaim, budget: int) -> Reservation:
         """Return a granted reservation.
 
         :raises BudgetExhaustedError: if the budget does not hold it.
         :raises StoreUncertainError: if too few groups could be asked.
         """
-        request = BudgetRequest(wanted, divide(budget, self._zones.parts), self._zones.count)
+        request = BudgetRequest(
+            wanted, divide(budget, self._zones.part_count), self._zones.zone_count
+        )
         try:
             verdict = self._ask_groups(request)
             if verdict is Verdict.SHORT:
@@ -118,13 +120,13 @@
             wanted = request.wanted
             self._queues.add(wanted.common, self._marker(wanted, key, ""))
 
-    def settle(self, reserved: Reserved, tokens: int, server_id: str) -> None:
+    def settle(self, reserved: Reservation, tokens: int, server_id: str) -> None:
         """Replace a reservation by what was emitted, soon."""
         for group, record in self.settled(reserved, tokens, server_id):
             self._queues.add(group, record)
 
     def settled(
-        self, reserved: Reserved, tokens: int, server_id: str
+        self, reserved: Reservation, tokens: int, server_id: str
     ) -> list[tuple[int, StoredRecord]]:
         """Return the records that replace a reservation by what was emitted, with their groups."""
         wanted = reserved.wanted
@@ -142,7 +144,7 @@
     def _record(
         self,
         group: int,
-        wanted: Wanted,
+        wanted: TokenClaim,
         state: ClaimState,
         amount: int,
         server_id: str = "",
@@ -155,12 +157,12 @@
         owner = wanted.program_id
         return StoredRecord(wanted.key, state, owner, "", retention, amount, server_id.encode())
 
-    def _trace(self, wanted: Wanted, server_id: str) -> StoredRecord:
+    def _trace(self, wanted: TokenClaim, server_id: str) -> StoredRecord:
         """Return the record that tells the common group of a turn that ran without it."""
         key = f"{TRACE_PREFIX}{wanted.program_id}/{wanted.attempt_id}"
         return self._marker(wanted, key, server_id)
 
-    def _marker(self, wanted: Wanted, key: str, server_id: str) -> StoredRecord:
+    def _marker(self, wanted: TokenClaim, key: str, server_id: str) -> StoredRecord:
         """Return a record of no tokens in a program's common group."""
         retention = self._retention(wanted.common, wanted.retention)
         owner = wanted.program_id
@@ -168,7 +170,7 @@
 
     def _retention(self, group: int, wanted: float) -> float:
         """Return for how long a record is kept in a group, given its route's retention."""
-        if not self._zones.parts:
+        if not self._zones.part_count:
             return wanted
         if self._zones.is_zone_group(group):
             return max(wanted, ZONE_RETENTION_SECONDS)
@@ -178,8 +180,8 @@
 
     def _ask_groups(self, request: BudgetRequest) -> Verdict:
         """Claim tokens of one group after the other until the turn has what it wants."""
-        for group in self._zones.beside(request.common):
-            if self._reach.is_out(group) or not self._may_ask(request, group):
+        for group in self._zones.common_first(request.common):
+            if self._reach.is_unreachable(group) or not self._may_ask(request, group):
                 request.unreachable.append(group)
                 request.failure = request.failure or self._client.loss(group)
                 continue
@@ -202,7 +204,7 @@
             if not awaited or verdict is not Verdict.SHORT:
                 break
             eventlet.sleep(RECOVERY_LOOK_SECONDS)
-            back = [group for group in awaited if not self._reach.is_out(group)]
+            back = [group for group in awaited if not self._reach.is_unreachable(group)]
             for group in back:
                 self._ask_again(request, group)
             if back:
@@ -210,7 +212,7 @@
         return verdict
 
     def _is_brief_outage(self, group: int) -> bool:
-        return self._reach.out_seconds(group) < BRIEF_OUTAGE_SECONDS
+        return self._reach.unreachable_seconds(group) < BRIEF_OUTAGE_SECONDS
 
     def _ask_again(self, request: BudgetRequest, group: int) -> None:
         request.unreachable.remove(group)
@@ -225,12 +227,12 @@
         """Return whether a group may grant by what is known of the common one."""
         if group == request.common or request.common in request.held:
             return True
-        return self._reach.silent_seconds(request.common) < ALONE_SECONDS
+        return self._reach.seconds_since_answer(request.common) < ALONE_SECONDS
 
     def _note_failed(self, request: BudgetRequest, group: int, error: NoQuorumError) -> None:
         request.unreachable.append(group)
         request.failure = str(error)
-        if self._zones.parts:
+        if self._zones.part_count:
             self._reach.note_failed(group)
 
     def _claim(self, request: BudgetRequest, group: int) -> None:
@@ -244,13 +246,13 @@
         request.asked[group] = missing
         record = self._record(group, wanted, ClaimState.RESERVED, missing)
         reading = self._client.reserve(group, record, timeout=self._wait_s(group, request))
-        held = group_held(_others(reading, wanted), reading.note)
+        held = group_state(_others(reading, wanted), reading.note)
         if not (reading.is_sure and held.is_settled):
             held = self._look(request, group, held)
         self._reach.note_reached(group)
         request.take(group, held)
 
-    def _look(self, request: BudgetRequest, group: int, before: GroupHeld) -> GroupHeld:
+    def _look(self, request: BudgetRequest, group: int, before: GroupState) -> GroupState:
         """Return what a group holds of a program now.
 
         :raises NoQuorumError: if the group does not answer in time.
@@ -260,7 +262,7 @@
         reading = self._client.read_amounts(group, wanted.program_id, timeout=wait_s)
         # A reservation that was met while writing may not be complete yet.
         amounts = merged(before.amounts, _others(reading, wanted))
-        return group_held(amounts, reading.note)
+        return group_state(amounts, reading.note)
 
     def _decide(self, request: BudgetRequest) -> Verdict:
         """Return what becomes of a turn that no group's part holds alone.
@@ -302,7 +304,7 @@
 
     # What follows
 
-    def _granted(self, request: BudgetRequest) -> Reserved:
+    def _granted(self, request: BudgetRequest) -> Reservation:
         """Note what a granted turn takes; hand back what it has claimed beyond that."""
         wanted = request.wanted
         pieces = {}
@@ -316,7 +318,7 @@
         for group in request.asked.keys() - request.held.keys():
             self._queues.add(group, self._record(group, wanted, ClaimState.SETTLED, 0))
         granted = sum(pieces.values())
-        return Reserved(wanted, pieces, granted, request.last_server, request.is_first)
+        return Reservation(wanted, pieces, granted, request.last_server, request.is_first)
 
     def _note_decided(self, request: BudgetRequest, budget: int, verdict: Verdict) -> None:
         wanted = request.wanted
@@ -333,7 +335,7 @@
                 )
             )
         is_common_alone = not request.unreachable and list(request.asked) == [request.common]
-        if self._zones.parts and not is_common_alone:
+        if self._zones.part_count and not is_common_alone:
             pieces = request.pieces
             common_tokens = pieces.get(request.common, 0)
             self._log.write(
@@ -355,7 +357,7 @@
     return f"out of reach: {', '.join(str(group) for group in unreachable)}"
 
 
-def _others(reading: OwnerReading, wanted: Wanted) -> dict[str, Amount]:
+def _others(reading: OwnerReading, wanted: TokenClaim) -> dict[str, Amount]:
     """Return what counts beside a claim."""
     own = {wanted.key, *wanted.given_up}
     return {key: amount for key, amount in reading.amounts.items() if key not in own}
--- a/yarrowwall/budgets/settlements.py
+++ b/yarrowwall/budgets/settlements.py
@@ -3,7 +3,7 @@
 import eventlet
 from eventlet.event import Event
 
-from yarrowwall.budgets.group_reach import GroupReach
+from yarrowwall.budgets.group_reachability import GroupReachability
 from yarrowwall.messages.replicated import StoredRecord
 from yarrowwall.replication.exceptions import NoQuorumError
 from yarrowwall.replication.quorum_client import QuorumClient
@@ -23,7 +23,7 @@
     Groups have queues of their own, so that one out of reach holds up no other.
     """
 
-    def __init__(self, group: int, client: QuorumClient, reach: GroupReach) -> None:
+    def __init__(self, group: int, client: QuorumClient, reach: GroupReachability) -> None:
         self._group = group
         self._client = client
         self._reach = reach
@@ -49,7 +49,7 @@
                 self._wakeup.wait()
                 self._wakeup = Event()
             eventlet.sleep(SETTLE_SECONDS)
-            if self._reach.is_out(self._group):
+            if self._reach.is_unreachable(self._group):
                 eventlet.sleep(SETTLE_RETRY_SECONDS)
                 continue
             batch, self._waiting = self._waiting[:MOST_RECORDS], self._waiting[MOST_RECORDS:]
@@ -66,7 +66,7 @@
 class SettlementQueues:
     """Records that wait to be written, by group."""
 
-    def __init__(self, client: QuorumClient, reach: GroupReach) -> None:
+    def __init__(self, client: QuorumClient, reach: GroupReachability) -> None:
         self._client = client
         self._reach = reach
         self._queues: dict[int, _GroupQueue] = {}
--- a/yarrowwall/budgets/turn_copies.py
+++ b/yarrowwall/budgets/turn_copier.py
@@ -11,7 +11,7 @@
 import eventlet
 
 from yarrowwall import decisions
-from yarrowwall.budgets.group_reach import GroupReach
+from yarrowwall.budgets.group_reachability import GroupReachability
 from yarrowwall.budgets.turns import Turn, turn_key, turn_record
 from yarrowwall.decisions import DecisionLog
 from yarrowwall.exceptions import StoreUncertainError
@@ -39,14 +39,14 @@
         return len(self.turn.body) + len(self.turn.output)
 
 
-class TurnCopies:
+class TurnCopier:
     """Turns that wait to be copied, those first that were asked for."""
 
     def __init__(
         self,
         client: QuorumClient,
         group_of: Callable[[str], int],
-        reach: GroupReach,
+        reach: GroupReachability,
         log: DecisionLog,
     ) -> None:
         self._client = client
@@ -92,7 +92,7 @@
                 group = self._group_of(turn_key(key))
             except StoreUncertainError:
                 return False
-            if not self._reach.is_out(group):
+            if not self._reach.is_unreachable(group):
                 return self._copy(group, key, waiting)
         return False
 
--- a/yarrowwall/budgets/held_tokens.py
+++ b/yarrowwall/budgets/turn_reservations.py
@@ -2,16 +2,16 @@
 
 from collections.abc import Iterator
 
-from yarrowwall.budgets.budget_requests import Reserved, Wanted, further_claim
+from yarrowwall.budgets.budget_requests import Reservation, TokenClaim, further_claim
 
 
-class HeldTokens:
+class TurnReservations:
     """The reservations of one turn.
 
     :param first: with which it began.
     """
 
-    def __init__(self, first: Reserved) -> None:
+    def __init__(self, first: Reservation) -> None:
         self._reserved = [first]
         #: Keys of further claims that were not granted.
         self._given_up: set[str] = set()
@@ -19,7 +19,7 @@
         self.is_rest_refused = False
 
     @property
-    def wanted(self) -> Wanted:
+    def wanted(self) -> TokenClaim:
         """Return what the turn wants at most."""
         return self._reserved[0].wanted
 
@@ -38,19 +38,19 @@
         """Return the tokens that the turn may emit and does not hold."""
         return self.wanted.tokens - self.granted
 
-    def next_claim(self, tokens: int) -> Wanted:
+    def next_claim(self, tokens: int) -> TokenClaim:
         """Return a new claim of some of what the turn lacks."""
         number = len(self._given_up) + len(self._reserved)
         claim = further_claim(self.wanted, tokens, number, self._given_up)
         self._given_up.add(claim.key)
         return claim
 
-    def add(self, reserved: Reserved) -> None:
+    def add(self, reserved: Reservation) -> None:
         """Take in one more reservation."""
         self._given_up.discard(reserved.wanted.key)
         self._reserved.append(reserved)
 
-    def spread(self, tokens: int) -> Iterator[tuple[Reserved, int]]:
+    def spread(self, tokens: int) -> Iterator[tuple[Reservation, int]]:
         """Return how much of each reservation was spent; the rest is handed back.
 
         What was emitted beyond all of them counts at the first: no token goes uncounted.
--- a/yarrowwall/budgets/turn_store.py
+++ b/yarrowwall/budgets/turn_store.py
@@ -13,9 +13,9 @@
 import eventlet
 
 from yarrowwall import decisions
-from yarrowwall.budgets.group_reach import GroupReach
+from yarrowwall.budgets.group_reachability import GroupReachability
 from yarrowwall.budgets.settlements import SettlementQueues
-from yarrowwall.budgets.turn_copies import TurnCopies
+from yarrowwall.budgets.turn_copier import TurnCopier
 from yarrowwall.budgets.turns import Turn, TurnCache, read_turn, turn_key, turn_record
 from yarrowwall.budgets.zone_groups import ZoneGroups
 from yarrowwall.decisions import DecisionLog
@@ -44,7 +44,7 @@
 LOOK_AT_REST_SECONDS = 0.03
 
 #: A record, and the group that it is written to.
-Placed = tuple[int, StoredRecord]
+PlacedRecord = tuple[int, StoredRecord]
 
 
 class _Found(NamedTuple):
@@ -70,7 +70,7 @@
     turn: Turn
     record: StoredRecord
     retention: float
-    settled: list[Placed]
+    settled: list[PlacedRecord]
     begun: float
     tries: int = 0
     failures: dict[int, str] = field(default_factory=dict)
@@ -93,7 +93,7 @@
         client: QuorumClient,
         group_of: Callable[[str], int],
         zones: ZoneGroups,
-        reach: GroupReach,
+        reach: GroupReachability,
         queues: SettlementQueues,
         log: DecisionLog,
         now: Callable[[], float],
@@ -106,7 +106,7 @@
         self._queues = queues
         self._log = log
         self._cache = TurnCache()
-        self._copies = TurnCopies(client, group_of, reach, log)
+        self._copies = TurnCopier(client, group_of, reach, log)
 
     def check_keepable(self, attempt_id: str) -> None:
         """Refuse a turn that surely could not be kept at its end.
@@ -114,14 +114,14 @@
         :raises StoreUncertainError: if its group is out of reach and the zone keeps no turns.
         """
         group = self._group_of(turn_key(attempt_id))
-        if self._reach.is_out(group) and not self._can_fall_back:
+        if self._reach.is_unreachable(group) and not self._can_fall_back:
             reason = f"group {group} is out of reach, and the zone keeps no turns"
             raise StoreUncertainError(self._client.loss(group) or reason)
 
     @property
     def _can_fall_back(self) -> bool:
         own = self._zones.own
-        return own is not None and self._zones.keeps_turns and not self._reach.is_out(own)
+        return own is not None and self._zones.stores_turns and not self._reach.is_unreachable(own)
 
     # Chains
 
@@ -160,7 +160,7 @@
         common = self._group_of(key)
         unasked = []
         reason = ""
-        for group in self._zones.beside(common):
+        for group in self._zones.common_first(common):
             try:
                 turns = self._look(group, key)
             except NoQuorumError as error:
@@ -178,11 +178,11 @@
 
         :raises NoQuorumError: if it cannot tell.
         """
-        is_out = self._reach.is_out(group)
+        is_unreachable = self._reach.is_unreachable(group)
         try:
-            records = self._client.read_chain(group, key, [], timeout=self._look_s(is_out))
+            records = self._client.read_chain(group, key, [], timeout=self._look_s(is_unreachable))
         except NoQuorumError:
-            if self._zones.parts and not is_out:
+            if self._zones.part_count and not is_unreachable:
                 self._reach.note_failed(group)
             raise
         found = []
@@ -193,15 +193,15 @@
             key = record.link
         return found
 
-    def _look_s(self, is_out: bool) -> float:
-        if not self._zones.parts:
+    def _look_s(self, is_unreachable: bool) -> float:
+        if not self._zones.part_count:
             return OPERATION_SECONDS
-        return LOOK_AT_REST_SECONDS if is_out else LOOK_SECONDS
+        return LOOK_AT_REST_SECONDS if is_unreachable else LOOK_SECONDS
 
     # Keeping
 
     def keep(
-        self, turn: Turn, retention: float, settled: list[Placed], end: Callable[[], float]
+        self, turn: Turn, retention: float, settled: list[PlacedRecord], end: Callable[[], float]
     ) -> None:
         """Store a turn; ask its groups again until one takes it.
 
@@ -214,7 +214,7 @@
         :raises StoreUncertainError: if no quorum took it in time.
         """
         keeping = _Keeping(turn, turn_record(turn, retention), retention, settled, self._now())
-        wait_s = KEEP_FIRST_SECONDS if self._zones.keeps_turns else OPERATION_SECONDS
+        wait_s = KEEP_FIRST_SECONDS if self._zones.stores_turns else OPERATION_SECONDS
         while True:
             for group in self._places(keeping):
                 left_s = end() - END_MARGIN_SECONDS - self._now()
@@ -230,9 +230,9 @@
         """Return the groups that may keep a turn, those first that are in reach."""
         found = [self._group_of(keeping.record.key)]
         own = self._zones.own
-        if own is not None and self._zones.keeps_turns:
+        if own is not None and self._zones.stores_turns:
             found.append(own)
-        return sorted(found, key=self._reach.is_out)
+        return sorted(found, key=self._reach.is_unreachable)
 
     def _is_kept(self, keeping: _Keeping, group: int, wait_s: float) -> bool:
         """Return whether a group takes a turn within so many seconds."""
@@ -245,7 +245,7 @@
         except NoQuorumError as error:
             keeping.failures[group] = str(error)
             # A group that had less time than others get may be in reach all the same.
-            if self._zones.parts and wait_s >= KEEP_FIRST_SECONDS:
+            if self._zones.part_count and wait_s >= KEEP_FIRST_SECONDS:
                 self._reach.note_failed(group)
             return False
         return True
--- a/yarrowwall/budgets/zone_groups.py
+++ b/yarrowwall/budgets/zone_groups.py
@@ -17,7 +17,7 @@
         self._views = views
 
     @property
-    def parts(self) -> int:
+    def part_count(self) -> int:
         """Return among how many zones budgets are divided, the same at every gateway."""
         return self._views.zone_parts
 
@@ -27,27 +27,27 @@
         return self._views.zone_group(self._zone)
 
     @property
-    def count(self) -> int:
+    def zone_count(self) -> int:
         """Return how many zones have a group of their own."""
         return len(self._views.zone_groups())
 
-    def beside(self, common: int) -> Iterator[int]:
+    def common_first(self, common: int) -> Iterator[int]:
         """Return a common group and then all zones', the own one first, as far as they are asked.
 
         Most requests end at the common group and need no order of the others.
         """
         yield common
-        yield from self.in_order
+        yield from self.own_first
 
     @property
-    def in_order(self) -> list[int]:
+    def own_first(self) -> list[int]:
         """Return all zones' groups, the own one first."""
         own = self.own
         groups = self._views.zone_groups()
         return sorted(groups.values(), key=lambda group: (group != own, group))
 
     @property
-    def keeps_turns(self) -> bool:
+    def stores_turns(self) -> bool:
         """Return whether a turn may be kept in the own zone's group alone."""
         own = self.own
         return own is not None and self._views.bears_losses(own)
--- a/yarrowwall/gateway/turn.py
+++ b/yarrowwall/gateway/turn.py
@@ -96,7 +96,7 @@
                 yield self._pass_on_failure(opened.answer, sender)
                 return
             for events in relay.events():
-                grant.cover(relay.passed)
+                grant.ensure_granted(relay.passed)
                 if len(events) == len(relay.passed):
                     self._response.begin_stream(opened.answer)
                 self._response.note_given(len(events))
--- a/yarrowwall/ports/programs.py
+++ b/yarrowwall/ports/programs.py
@@ -33,7 +33,7 @@
         self.is_first = is_first
         self.is_continued = is_continued
 
-    def cover(self, passed: list[Event]) -> None:
+    def ensure_granted(self, passed: list[Event]) -> None:
         """Refuse events beyond what was granted, before they are passed on.
 
         :raises StoreUncertainError: if they exceed it.
