--- a/features/steps/quota_proof_steps.py
+++ b/features/steps/quota_proof_steps.py
@@ -46,7 +46,7 @@
     context.disks = ["a", "b", "c", "d", "e"]
     members = [Member(disk, disk, "127.0.0.1:1", "z") for disk in context.disks]
     context.lease = IssuerLease("a", PLAIN.counted_s)
-    context.lease.take_view(GroupView(0, 1, members, []), 0.0)
+    context.lease.install_view(GroupView(0, 1, members, []), 0.0)
 
 
 @when("{count:d} others vouch for epoch {epoch:d} by answers to questions sent {age:f} s ago")
@@ -225,7 +225,7 @@
     entitlements = []
     for name in LENDERS:
         one = IssuerLease(name, PLAIN.counted_s)
-        one.take_view(GroupView(0, 1, members, []), 0.0)
+        one.install_view(GroupView(0, 1, members, []), 0.0)
         entitlements.append(one)
     for most in range(41):
         limit = TenantLimit(1, 0.0, float(most))
--- a/features/support/quota_model.py
+++ b/features/support/quota_model.py
@@ -213,7 +213,7 @@
         self.installed[machine.disk_id] = view.epoch
         machine.log.append(view)
         machine.disk.replica.epoch = view.epoch
-        machine.disk.lease.take_view(view, self.clock(machine).steady_s)
+        machine.disk.lease.install_view(view, self.clock(machine).steady_s)
 
     def _heartbeat(self, machine: Machine) -> None:
         self.at(HEARTBEAT_S, lambda: self._heartbeat(machine))
@@ -395,7 +395,7 @@
         disk.lease.restore_begun(clock.steady_s)
     else:
         disk.replica.epoch = record.epoch
-        disk.lease.take_view(record, clock.steady_s)
+        disk.lease.install_view(record, clock.steady_s)
 
 
 def credit_left_s(world: World, asked_s: float) -> float:
--- a/features/support/quota_mutants.py
+++ b/features/support/quota_mutants.py
@@ -14,7 +14,7 @@
 from yarrowwall.quotas.quota_rules import PERMIT_SECONDS, QuotaRules
 
 _take = PermitIssuer.issue
-_take_view = IssuerLease.take_view
+_install_view = IssuerLease.install_view
 
 
 def _answer_before_disk(self: PermitIssuer, request: Any, clock: Clock) -> Outcome:
@@ -26,7 +26,7 @@
 
 
 def _lend_at_once(self: IssuerLease, view: Any, now_s: float) -> None:
-    _take_view(self, view, now_s)
+    _install_view(self, view, now_s)
     if self._from_s is not None:
         self._from_s = min(self._from_s, now_s)
 
@@ -62,7 +62,7 @@
     "what was lent counts for the window alone": lambda: patch.object(
         QuotaRules, "counted_s", property(lambda self: self.window_s)
     ),
-    "whoever joins lends at once": lambda: patch.object(IssuerLease, "take_view", _lend_at_once),
+    "whoever joins lends at once": lambda: patch.object(IssuerLease, "install_view", _lend_at_once),
     "a lender needs no vouchers": lambda: patch.object(IssuerLease, "holds", _need_no_vouchers),
     "credits count from the answer": lambda: patch.object(
         quota_model, "credit_left_s", _from_answer
--- a/yarrowwall/quotas/issuer_lease.py
+++ b/yarrowwall/quotas/issuer_lease.py
@@ -60,7 +60,7 @@
     def _is_member(self) -> bool:
         return self._view is not None and self._disk_id in disk_ids(self._view.members)
 
-    def take_view(self, view: GroupView, now_s: float) -> None:
+    def install_view(self, view: GroupView, now_s: float) -> None:
         """Take in a newer view of the group."""
         known = self._view
         if known is not None and view.epoch <= known.epoch:
--- a/yarrowwall/quotas/replica_disk.py
+++ b/yarrowwall/quotas/replica_disk.py
@@ -51,7 +51,7 @@
                 self.lease.restore_begun(clock.steady_s)
                 continue
             if isinstance(record, ViewKept):
-                self.lease.take_view(record.view, clock.steady_s)
+                self.lease.install_view(record.view, clock.steady_s)
             yield record
 
     def _snapshot(self) -> list[DiskRecord]:
@@ -63,4 +63,4 @@
     def _now_durable(self, record: DiskRecord) -> None:
         super()._now_durable(record)
         if isinstance(record, ViewKept):
-            self.lease.take_view(record.view, time.monotonic())
+            self.lease.install_view(record.view, time.monotonic())
