--- a/yarrowwall/gateway/turn.py
+++ b/yarrowwall/gateway/turn.py
@@ -96,7 +96,7 @@
                 yield self._pass_on_failure(opened.answer, sender)
                 return
             for events in relay.events():
-                grant.cover(relay.passed)
+                grant.ensure_granted(relay.passed)
                 if len(events) == len(relay.passed):
                     self._response.begin_stream(opened.answer)
                 self._response.note_given(len(events))
@@ -157,14 +157,14 @@
     def _ask_for_room(self, grant: TurnGrant, allowance: Allowance) -> None:
         sizes, service = self._parts.program_sizes, self._service
         if service is None or service.engine is None:
-            allowance.begin_program(sizes.expected_requests(self._route.name))
+            allowance.admit_program(sizes.expected_requests(self._route.name))
             return
         # A lender counts each program that it welcomes, so the servers' room goes first.
         turns = sizes.expected_turns(self._route.name)
         new = NewProgram(self._attempt, service, turns, grant.is_continued)
         self._parts.rooms.request_admission(new)
         try:
-            allowance.begin_program(sizes.expected_requests(self._route.name))
+            allowance.admit_program(sizes.expected_requests(self._route.name))
         except RefusedError:
             self._parts.rooms.cancel_admission(new)
             raise
