--- a/features/soak/faults.py
+++ b/features/soak/faults.py
@@ -235,7 +235,7 @@
             if server_id is None:
                 return
             server, service = self._service_of(server_id)
-            newest = server.born_ms or int(time.time() * 1000)
+            newest = server.start_ms or int(time.time() * 1000)
             self._world.list_reborn(server, service, newest)
             self._world.list_reborn(server, service, newest - 60_000)
             self._pause()
--- a/features/steps/connection_end_steps.py
+++ b/features/steps/connection_end_steps.py
@@ -24,7 +24,7 @@
 from yarrowwall.addresses import split_address
 from yarrowwall.decisions import DecisionLog
 from yarrowwall.gateway.gateway import Gateway
-from yarrowwall.gateway.http_server import PROTOCOL_KEY, ServerLimits, serve
+from yarrowwall.gateway.http_server import PROTOCOL_KEY, CurrentCallerLimits, serve
 from yarrowwall.platform.callers import PlatformCallers
 from yarrowwall.policy.freshness import Freshness
 from yarrowwall.policy.memory_budget import MemoryBounds, MemoryBudget
@@ -231,15 +231,15 @@
     log = DecisionLog("edge-0", descriptor=os.open(os.devnull, os.O_WRONLY))
     memory = MemoryBudget(MemoryBounds(1_000, 1_000, 1_000))
     dispatch = SimpleNamespace(memory=memory, decisions=log, now=time.monotonic)
-    parts = SimpleNamespace(
+    components = SimpleNamespace(
         dispatch=dispatch,
         callers=PlatformCallers(),
         programs=SimpleNamespace(is_reachable=True, unreachable_s=0.0),
         freshness=Freshness(5.0, 3.0),
-        limits=ServerLimits(),
+        limits=CurrentCallerLimits(),
     )
-    context.gateway = Gateway(parts)
-    context.gateway.note_informed()
+    context.gateway = Gateway(components)
+    context.gateway.note_initial_load()
     caller, _ = green_socket.socketpair()
     context.environ = {
         "REQUEST_METHOD": "GET",
@@ -329,7 +329,7 @@
         start_response("200 OK", [("Content-Length", "0")])
         return [b""]
 
-    limits = ServerLimits()
+    limits = CurrentCallerLimits()
     limits.current = replace(
         limits.current, idle_seconds=limit / 1000.0, header_seconds=limit / 1000.0
     )
--- a/features/steps/receiving_steps.py
+++ b/features/steps/receiving_steps.py
@@ -8,7 +8,7 @@
 from eventlet.green import socket
 from eventlet.hubs import get_hub
 
-from yarrowwall.exceptions import CallerGoneError
+from yarrowwall.exceptions import CallerDisconnectedError
 from yarrowwall.gateway.caller_watch import CallerWatch
 from yarrowwall.sockets import Receiver
 
@@ -83,7 +83,7 @@
             if leave:
                 far.close()
             eventlet.sleep(work_s)
-    except CallerGoneError:
+    except CallerDisconnectedError:
         return True, time.monotonic() - began_s
     return False, time.monotonic() - began_s
 
--- a/features/steps/server_entry_steps.py
+++ b/features/steps/server_entry_steps.py
@@ -65,7 +65,7 @@
         _quiet_log(context.noted),
         lambda: NOW_S,
     )
-    context.servers.take_list(list(items))
+    context.servers.apply_list(list(items))
 
 
 @given('a list of servers that has "{one}" and "{other}"')
@@ -83,7 +83,7 @@
 def list_with_doubled(context: Context, one: str, other: str) -> None:
     _begin(context, item(one, spec_at(11)))
     for _ in range(2):
-        context.servers.take_change(Change(item(other, spec_at(11)), False))
+        context.servers.apply_change(Change(item(other, spec_at(11)), False))
 
 
 @given("a list of servers that is empty")
@@ -93,7 +93,7 @@
 
 @when('a list comes that has "{name}"')
 def list_comes(context: Context, name: str) -> None:
-    context.servers.take_list([item(name, spec_at(11))])
+    context.servers.apply_list([item(name, spec_at(11))])
 
 
 @then('"{name}" was told of as listed, once')
@@ -113,14 +113,14 @@
         spec[field] = json.loads(value)
     context.bad = item(name, spec)
     for _ in range(3):
-        context.servers.take_change(Change(context.bad, False))
+        context.servers.apply_change(Change(context.bad, False))
     good = item("good", spec_at(11))
-    context.servers.take_list([context.bad, good])
+    context.servers.apply_list([context.bad, good])
 
 
 @when('the entry of "{name}" is written as a server would')
 def entry_sound(context: Context, name: str) -> None:
-    context.servers.take_change(Change(item(name, spec_at(12)), False))
+    context.servers.apply_change(Change(item(name, spec_at(12)), False))
 
 
 def _listed(directory: ServerDirectory) -> set[str]:
@@ -184,18 +184,18 @@
     return self._documents.server(one)
 
 
-_take_change = ServerList.take_change
+_apply_change = ServerList.apply_change
 
 
 def _skip_known_bad(self: ServerList, change: Change) -> None:
     if change.item.name not in {told.name for told in self._faults}:
-        _take_change(self, change)
+        _apply_change(self, change)
 
 
 MUTANTS = {
-    "one bad entry drops the list": ("take_list", _list_or_nothing),
+    "one bad entry drops the list": ("apply_list", _list_or_nothing),
     "one bad entry ends the follower": ("_read", _read_or_raise),
-    "one bad entry hides the next good one": ("take_change", _skip_known_bad),
+    "one bad entry hides the next good one": ("apply_change", _skip_known_bad),
 }
 
 
--- a/features/steps/server_life_steps.py
+++ b/features/steps/server_life_steps.py
@@ -37,7 +37,7 @@
 ) -> Server:
     """Return what an entry tells of an incarnation."""
     return Server(
-        incarnation.server_id, "models", address, "a", 16, is_draining, incarnation.born_ms
+        incarnation.server_id, "models", address, "a", 16, is_draining, incarnation.start_ms
     )
 
 
@@ -100,7 +100,7 @@
 @then('"{name}" is in life {born:d} with nothing held, no failure, no pace and no request')
 def is_new(context: Context, name: str, born: int) -> None:
     state = context.directory.states[name]
-    assert state.server.born_ms == born
+    assert state.server.start_ms == born
     assert state.belief.cached_tokens(PROMPT) == 0
     seen = (state.failures, state.suspended_until, state.pace, state.running, state.elsewhere)
     assert seen == (0, 0.0, None, 0, 0), seen
@@ -111,7 +111,7 @@
 @then('"{name}" is in life {born:d} and listed')
 def is_listed(context: Context, name: str, born: int) -> None:
     state = context.directory.states[name]
-    assert state.server.born_ms == born, state.server
+    assert state.server.start_ms == born, state.server
     assert state.vanished_at is None
 
 
@@ -124,7 +124,7 @@
 def requests_begin(context: Context, count: int, name: str) -> None:
     incarnation = context.directory.states[name].server.incarnation
     places = context.places = getattr(context, "places", {})
-    places[incarnation.born_ms] = [context.directory.started(incarnation) for _ in range(count)]
+    places[incarnation.start_ms] = [context.directory.started(incarnation) for _ in range(count)]
 
 
 @when("the {count:d} requests of life {born:d} end")
@@ -190,8 +190,8 @@
 _ORDERS = st.lists(st.tuples(st.sampled_from(("list", "watch", "gone", "pass")), _LIVES))
 
 
-def _age(born_ms: int | None) -> int:
-    return born_ms if born_ms is not None else 0
+def _age(start_ms: int | None) -> int:
+    return start_ms if start_ms is not None else 0
 
 
 def check_order(order: list[tuple[str, int | None]]) -> None:
@@ -200,14 +200,14 @@
     now_s = NOW_S
     newest: Incarnation | None = None
     is_listed = False
-    for how, born_ms in order:
-        incarnation = Incarnation("e1", born_ms)
+    for how, start_ms in order:
+        incarnation = Incarnation("e1", start_ms)
         if how == "pass":
             now_s += FORGOTTEN_S
             directory.forget_vanished(now_s)
         elif how == "gone":
             directory.remove(incarnation, now_s)
-            is_listed = is_listed and born_ms is not None and incarnation.is_before(newest)
+            is_listed = is_listed and start_ms is not None and incarnation.is_before(newest)
         elif how == "list":
             directory.replace_all([told(incarnation)], SERVICES, now_s)
         else:
@@ -305,7 +305,7 @@
     connection.send(REQUEST, 1.0)
     connection.read_head(1.0)
     connection.read_all(1.0)
-    connection.finish()
+    connection.finish_response()
     connection.keep_alive = 60.0
     return connection
 
@@ -316,30 +316,30 @@
         context.pool = _pool(context)
         context.old = told(Incarnation("e1", born), address=address)
         context.new = told(Incarnation("e1", born + 1_000), address=address)
-        context.lent = _used(context.pool.take(context.old))
-        context.kept = _used(context.pool.take(context.old))
-        context.pool.give_back(context.old, context.kept)
-        assert context.pool.take(context.old) is context.kept
-        context.pool.give_back(context.old, context.kept)
+        context.lent = _used(context.pool.acquire(context.old))
+        context.kept = _used(context.pool.acquire(context.old))
+        context.pool.release(context.old, context.kept)
+        assert context.pool.acquire(context.old) is context.kept
+        context.pool.release(context.old, context.kept)
 
 
 @when("its life {born:d} is told")
 def new_life_told(context: Context, born: int) -> None:
-    assert context.new.born_ms == born
+    assert context.new.start_ms == born
     context.pool.end_incarnation(context.old.incarnation, context.new.incarnation)
 
 
 @then("the next request of life {born:d} goes over a new connection")
 def over_new(context: Context, born: int) -> None:
-    taken = context.pool.take(context.new)
+    taken = context.pool.acquire(context.new)
     assert taken not in (context.kept, context.lent)
     _used(taken)
 
 
 @then("a connection of life {born:d} that is given back then is not used either")
 def late_is_unused(context: Context, born: int) -> None:
-    context.pool.give_back(context.old, context.lent)
-    assert context.pool.take(context.new) is not context.lent
+    context.pool.release(context.old, context.lent)
+    assert context.pool.acquire(context.new) is not context.lent
 
 
 @given("a server that keeps connections, and a request that waits at its life {born:d}")
@@ -347,7 +347,7 @@
     with _keeping_server(context) as address:
         context.pool = _pool(context)
         context.old = told(Incarnation("e1", born), address=address)
-        connection = context.pool.take(context.old)
+        connection = context.pool.acquire(context.old)
         connection.send(WAITING, 1.0)
         context.ended = Event()
 
@@ -402,13 +402,13 @@
     "and its server starts again {ahead:d} s later by its clock"
 )
 def sent_and_reborn(context: Context, text: str, route: str, ahead: int) -> None:
-    born_ms = int((time.time() + ahead) * 1000)
+    start_ms = int((time.time() + ahead) * 1000)
 
     def be_reborn() -> None:
         deadline = time.monotonic() + 2.0
         while not context.mute.arrivals and time.monotonic() < deadline:
             time.sleep(0.01)
-        world(context).list_reborn(context.mute, route, born_ms)
+        world(context).list_reborn(context.mute, route, start_ms)
 
     reborn = Thread(target=be_reborn, daemon=True)
     reborn.start()
--- a/features/steps/spent_budget_steps.py
+++ b/features/steps/spent_budget_steps.py
@@ -16,7 +16,7 @@
 from yarrowwall.budgets.zone_groups import ZoneGroups
 from yarrowwall.decisions import Decision
 from yarrowwall.event_stream import Event
-from yarrowwall.exceptions import BudgetExhaustedError, CallerGoneError, StoreUncertainError
+from yarrowwall.exceptions import BudgetExhaustedError, CallerDisconnectedError, StoreUncertainError
 from yarrowwall.gateway.exchange import Exchange
 from yarrowwall.messages.replicated import GroupView, Member, StoredRecord
 from yarrowwall.model import Attempt, ProgramContext, RequestKind, Route
@@ -66,7 +66,7 @@
             raise NoQuorumError(f"group {group}: silent")
         self.keep(group, record)
         if group == self.leaves_at:
-            raise CallerGoneError("half or full close")
+            raise CallerDisconnectedError("half or full close")
         return self._reading(group)
 
     def read_amounts(self, group: int, owner: str, timeout: float) -> OwnerReading:
@@ -185,7 +185,7 @@
     context.groups.leaves_at = COMMON
     try:
         _turn(context)
-    except CallerGoneError:
+    except CallerDisconnectedError:
         context.groups.leaves_at = None
         return
     raise AssertionError("the turn was decided")
@@ -233,13 +233,15 @@
     attempt = Attempt("granted", "POST", "/x", "host", [], b"", now_s, now_s + 9.0, program)
     context.grant = Mock(spec=TurnGrant, body=b"", last_server="", is_first=False)
     gateway = Mock()
-    gateway.under_way = set()
-    gateway.parts.programs.open_turn.return_value = context.grant
-    gateway.parts.dispatch.loads.ask.return_value.wait.side_effect = CallerGoneError("left")
+    gateway.active_requests = set()
+    gateway.components.programs.open_turn.return_value = context.grant
+    gateway.components.dispatch.loads.ask.return_value.wait.side_effect = CallerDisconnectedError(
+        "left"
+    )
     exchange = Exchange(gateway, {"eventlet.input": Mock()}, Mock())
     try:
         list(exchange._stream(attempt, ROUTE, RequestTime(now_s, now_s + 9.0, 5.0)))
-    except CallerGoneError:
+    except CallerDisconnectedError:
         return
     raise AssertionError("the turn went on")
 
--- a/features/steps/tenant_steps.py
+++ b/features/steps/tenant_steps.py
@@ -136,7 +136,9 @@
 @when('a client with key "{key}" sends every header that is the system\'s, in every spelling')
 def forge(context: Context, key: str) -> None:
     # A doubled key is no key; a deadline of the client's own has to be a number.
-    forged = [name for name in names.NOT_PASSED_ON if name not in (names.API_KEY, names.DEADLINE)]
+    forged = [
+        name for name in names.STRIPPED_HEADERS if name not in (names.API_KEY, names.DEADLINE)
+    ]
     context.answers = []
     for name in forged:
         for headers in spellings(name):
--- a/features/support/drawn_entries.py
+++ b/features/support/drawn_entries.py
@@ -167,7 +167,7 @@
     def __init__(self, address: str, timeout: float) -> None:
         self._target = ""
 
-    def is_quiet(self) -> bool:
+    def has_no_pending_input(self) -> bool:
         """Return whether nothing arrived."""
         return True
 
@@ -183,7 +183,7 @@
         """Return the body of the answer."""
         return self.store.answer(self._target)
 
-    def finish(self) -> None:
+    def finish_response(self) -> None:
         """Leave the answer."""
 
     def close(self) -> None:
@@ -202,7 +202,7 @@
         patch("yarrowwall.platform.store.eventlet.sleep"),
     ):
         follower = KindFollower(
-            PlatformStore("127.0.0.1:1"), "servers", servers.take_list, servers.take_change, log
+            PlatformStore("127.0.0.1:1"), "servers", servers.apply_list, servers.apply_change, log
         )
         with contextlib.suppress(OverError):
             follower._run()
--- a/features/support/following_store.py
+++ b/features/support/following_store.py
@@ -204,7 +204,7 @@
             raise ConnectError("refused")
         store.note_open(self)
 
-    def is_quiet(self) -> bool:
+    def has_no_pending_input(self) -> bool:
         """Return whether it may still be used."""
         return not self._is_closed
 
@@ -251,7 +251,7 @@
         """Return the body."""
         return json.dumps(self._found[1]).encode()
 
-    def finish(self) -> None:
+    def finish_response(self) -> None:
         """Leave the answer."""
         self.is_watching = False
 
--- a/features/support/platform_world.py
+++ b/features/support/platform_world.py
@@ -340,7 +340,7 @@
     script: Callable[[QuietHandler, Arrival], bool] = lambda handler, arrival: False
     arrivals: list[Arrival] = field(default_factory=list)
     cancelled: list[str] = field(default_factory=list)
-    born_ms: int | None = None
+    start_ms: int | None = None
 
     def start(self) -> str:
         """Begin to serve; return the address."""
@@ -518,17 +518,17 @@
     def _list(self, server: Server, service: str, address: str, state: str) -> None:
         listed = self.listed_address(server.server_id, address)
         spec = {"service": service, "address": listed, "zone": "zone-a", "slots": 16}
-        if server.born_ms is not None:
-            spec["born"] = server.born_ms
+        if server.start_ms is not None:
+            spec["born"] = server.start_ms
         self.store.put("servers", server.server_id, {**spec, "state": state, "seq": 1})
 
     def list_again(self, server: Server, service: str) -> None:
         """Let a server tell of itself as before."""
         self._list(server, service, address_of(server.listener), "ready")
 
-    def list_reborn(self, server: Server, service: str, born_ms: int) -> None:
+    def list_reborn(self, server: Server, service: str, start_ms: int) -> None:
         """Let a server tell that it started again, at the address that it had."""
-        server.born_ms = born_ms
+        server.start_ms = start_ms
         self.list_again(server, service)
 
     def drain(self, server: Server, service: str) -> None:
--- a/yarrowwall/budgets/budget_requests.py
+++ b/yarrowwall/budgets/budget_requests.py
@@ -50,7 +50,7 @@
     """Return what a turn of a program wants."""
     key = f"{_BUDGET_PREFIX}{program_id}/{attempt_id}"
     return Wanted(
-        program_id, program.program_id, attempt_id, key, program.most_tokens, retention, common
+        program_id, program.program_id, attempt_id, key, program.max_tokens, retention, common
     )
 
 
--- a/yarrowwall/dispatch/whole.py
+++ b/yarrowwall/dispatch/buffered.py
@@ -1,13 +1,15 @@
 """Relaying of answers that are passed on only once they are whole."""
 
-from yarrowwall.dispatch.parts import DispatchParts
+from yarrowwall.dispatch.components import DispatchComponents
 from yarrowwall.dispatch.sender import AttemptSender
 from yarrowwall.exceptions import RelayError
 from yarrowwall.model import Answer, Route
 from yarrowwall.policy.memory_budget import MemoryExhaustedError
 
 
-def relay_whole(parts: DispatchParts, route: Route, sender: AttemptSender) -> tuple[Answer, bytes]:
+def relay_buffered(
+    components: DispatchComponents, route: Route, sender: AttemptSender
+) -> tuple[Answer, bytes]:
     """Return a server's whole answer and its body.
 
     :raises RefusedError: if no server gave one.
@@ -15,22 +17,22 @@
     while True:
         opened = sender.open()
         try:
-            body = opened.connection.read_all(sender.left_s(), sender.hold_answer)
+            body = opened.connection.read_all(sender.left_s(), sender.hold_answer_memory)
         except MemoryExhaustedError as error:
-            sender.abandon()
+            sender.cancel_answer()
             raise sender.refused(str(error)) from error
         except RelayError as error:
-            sender.abandon()
+            sender.cancel_answer()
             sender.note_failure(opened.send.server, error)
-            if sender.rules.may_repeat(parts.now()):
+            if sender.rules.may_repeat(components.now()):
                 continue
             raise sender.refused(str(error)) from error
         except BaseException:
-            sender.abandon()
+            sender.cancel_answer()
             raise
-        sender.release()
-        now = parts.now()
-        parts.directory.note_pace(opened.send.server.incarnation, now - opened.sent_at, now)
+        sender.finish_answer()
+        now = components.now()
+        components.directory.note_pace(opened.send.server.incarnation, now - opened.sent_at, now)
         if route.is_repeatable:
-            parts.latencies.note(route.name, now - opened.sent_at)
+            components.latencies.note(route.name, now - opened.sent_at)
         return opened.answer, body
--- a/yarrowwall/dispatch/parts.py
+++ b/yarrowwall/dispatch/components.py
@@ -14,7 +14,7 @@
 
 
 @dataclass
-class DispatchParts:
+class DispatchComponents:
     """What all attempts of a gateway share on their way to servers.
 
     :param now: the monotonic clock.
--- a/yarrowwall/dispatch/connection.py
+++ b/yarrowwall/dispatch/connection.py
@@ -18,7 +18,7 @@
     MalformedAnswerError,
 )
 from yarrowwall.model import Header, ResponseHead
-from yarrowwall.sockets import is_quiet, open_socket, receive, send_all
+from yarrowwall.sockets import has_no_pending_input, open_socket, receive, send_all
 
 #: Bytes that are read at once. Each stream whose caller does not read keeps so many, in up to five
 #: copies on their way to the kernel; answers and events are smaller for the most part.
@@ -90,9 +90,9 @@
         self._socket = open_socket(address, timeout)
         self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, _RECEIVE_BUFFER_BYTES)
 
-    def is_quiet(self) -> bool:
+    def has_no_pending_input(self) -> bool:
         """Return whether neither bytes nor an end have arrived since the last answer."""
-        return is_quiet(self._socket)
+        return has_no_pending_input(self._socket)
 
     def send(self, data: bytes, timeout: float) -> None:
         """Send a request.
@@ -105,7 +105,7 @@
             send_all(self._socket, data, timeout)
         except OSError as error:
             # A server may answer before it has read the whole request.
-            if self.is_quiet():
+            if self.has_no_pending_input():
                 raise ConnectionBrokenError(f"while sending: {error}") from error
             self._must_close = True
 
@@ -155,13 +155,13 @@
         :raises ConnectionBrokenError: if the connection ends before the body does.
         :raises MalformedAnswerError: if the framing is broken.
         """
-        parts = []
+        pieces = []
         while data := self.read_some(timeout):
             hold(len(data))
-            parts.append(data)
-        return b"".join(parts)
+            pieces.append(data)
+        return b"".join(pieces)
 
-    def finish(self) -> None:
+    def finish_response(self) -> None:
         """Leave a response that was read to its end."""
         self._reader.responses.popleft()
 
@@ -184,7 +184,7 @@
         """Return whether every response was left, nothing follows and the server goes on."""
         reader = self._reader
         is_clean = not reader.responses and not reader.is_spoiled and not self._must_close
-        return is_clean and self.is_quiet()
+        return is_clean and self.has_no_pending_input()
 
     def interrupt(self) -> None:
         """End the connection under a greenthread that reads it, which then sees its end.
--- a/yarrowwall/dispatch/pool.py
+++ b/yarrowwall/dispatch/pool.py
@@ -21,7 +21,7 @@
 #: as one of the incarnation before.
 CLOCK_MARGIN_SECONDS = 1.0
 #: Idle connections kept to one server.
-MOST_IDLE = 8
+MAX_IDLE = 8
 
 
 class ConnectionPool:
@@ -40,7 +40,7 @@
         self._lent: dict[Incarnation, WeakSet[ServerConnection]] = defaultdict(WeakSet)
         self._idle: dict[Incarnation, list[ServerConnection]] = defaultdict(list)
 
-    def take(self, server: Server, is_fresh: bool = False) -> ServerConnection:
+    def acquire(self, server: Server, is_fresh: bool = False) -> ServerConnection:
         """Return a connection, a kept one if there is one that can be trusted.
 
         :param is_fresh: whether it has to be a new one.
@@ -69,19 +69,19 @@
     def _is_trusted(self, connection: ServerConnection) -> bool:
         kept = connection.keep_alive
         limit = DEFAULT_IDLE_SECONDS if kept is None else kept - IDLE_MARGIN_SECONDS
-        return self._now() - connection.idle_since < limit and connection.is_quiet()
+        return self._now() - connection.idle_since < limit and connection.has_no_pending_input()
 
-    def give_back(self, server: Server, connection: ServerConnection) -> None:
+    def release(self, server: Server, connection: ServerConnection) -> None:
         """Keep a connection for reuse if its last answer allows it."""
         self._lent[server.incarnation].discard(connection)
         idle = self._idle[server.incarnation]
-        if len(idle) >= MOST_IDLE or not connection.is_reusable:
+        if len(idle) >= MAX_IDLE or not connection.is_reusable:
             connection.close()
             return
         connection.idle_since = self._now()
         idle.append(connection)
 
-    def forget(self, incarnation: Incarnation) -> None:
+    def close_idle(self, incarnation: Incarnation) -> None:
         """Close the idle connections to a server."""
         for connection in self._idle.pop(incarnation, []):
             connection.close()
@@ -92,12 +92,12 @@
         Whoever waits there learns at once that no answer will come, and has no proof that its
         request did not run. A connection that may have been opened to the new incarnation goes on.
         """
-        self.forget(incarnation)
+        self.close_idle(incarnation)
         lent = self._lent.pop(incarnation, None)
-        if lent is None or successor is None or successor.born_ms is None:
+        if lent is None or successor is None or successor.start_ms is None:
             return
         for connection in list(lent):
-            if connection.opened_unix_s + CLOCK_MARGIN_SECONDS < successor.born_ms / 1000.0:
+            if connection.opened_unix_s + CLOCK_MARGIN_SECONDS < successor.start_ms / 1000.0:
                 connection.interrupt()
 
     def close_expired(self) -> None:
--- a/yarrowwall/dispatch/sender.py
+++ b/yarrowwall/dispatch/sender.py
@@ -8,8 +8,8 @@
 from http import HTTPStatus
 
 from yarrowwall import decisions
+from yarrowwall.dispatch.components import DispatchComponents
 from yarrowwall.dispatch.connection import ServerConnection
-from yarrowwall.dispatch.parts import DispatchParts
 from yarrowwall.exceptions import (
     AnswerTimeoutError,
     ConnectError,
@@ -36,11 +36,11 @@
 from yarrowwall.refusals import RefusedError
 
 #: Responses to other requests that are skipped on one connection.
-MOST_FOREIGN_ANSWERS = 4
+MAX_FOREIGN_ANSWERS = 4
 
 
 @dataclass
-class Sending:
+class SendPlan:
     """What is to be sent for an attempt.
 
     :param service: the service that the route chose.
@@ -78,21 +78,21 @@
     :ivar current: the answer that is being read.
     """
 
-    def __init__(self, parts: DispatchParts, sending: Sending) -> None:
-        self._parts = parts
-        self._sending = sending
-        self._attempt = sending.attempt
+    def __init__(self, components: DispatchComponents, plan: SendPlan) -> None:
+        self._components = components
+        self._plan = plan
+        self._attempt = plan.attempt
         self._last_incarnation: Incarnation | None = None
         self._place: ServerState | None = None
         #: Whether a server said nothing in time: kept connections may all have fallen silent.
         self._met_silence = False
         self.rules = SendRules(
-            sending.route,
-            sending.service,
-            sending.time,
-            parts.directory,
-            parts.latencies,
-            parts.retries,
+            plan.route,
+            plan.service,
+            plan.time,
+            components.directory,
+            components.latencies,
+            components.retries,
         )
         self.log = self.rules.log
         self.current: OpenAnswer | None = None
@@ -101,31 +101,31 @@
     def last_server(self) -> str:
         """Return the incarnation of the server that got the attempt last; empty if none did."""
         if self._last_incarnation is None or not self.log.sent:
-            return self._sending.last_server
+            return self._plan.last_server
         return self._last_incarnation.text
 
     def left_s(self) -> float:
         """Return the seconds left."""
-        return self.rules.left_s(self._parts.now())
+        return self.rules.left_s(self._components.now())
 
     def refused(self, reason: str) -> RefusedError:
         """Return the end of an attempt that no server answered."""
-        return RefusedError(self.rules.final_answer(reason, self._parts.now()))
+        return RefusedError(self.rules.final_answer(reason, self._components.now()))
 
     # Memory
 
-    def hold_answer(self, size: int) -> None:
+    def hold_answer_memory(self, size: int) -> None:
         """Note that bytes of the current answer are held.
 
         :raises MemoryExhaustedError: if they are too many.
         """
         server = self.current.send.server.incarnation_text if self.current is not None else ""
-        self._sending.hold.grow(size, server)
+        self._plan.hold.grow(size, server)
 
-    def release_answer(self, size: int) -> None:
+    def release_answer_memory(self, size: int) -> None:
         """Note that bytes of the current answer were passed on and are not kept."""
         if self.current is not None:
-            self._sending.hold.shrink(size, self.current.send.server.incarnation_text)
+            self._plan.hold.shrink(size, self.current.send.server.incarnation_text)
 
     # Sending
 
@@ -136,7 +136,7 @@
         :raises RefusedError: if no server did.
         """
         reason = "no server is known"
-        while self.rules.may_send(self._parts.now()):
+        while self.rules.may_send(self._components.now()):
             choice = self._choose()
             if choice is None:
                 break
@@ -153,7 +153,7 @@
             if not opened.answer.was_not_run:
                 return opened
             reason = f"server answered {opened.answer.status}, not run"
-            self._sending.allowance.not_run()
+            self._plan.allowance.not_run()
             self._turned_away(opened)
         raise self.refused(reason)
 
@@ -165,13 +165,13 @@
         return refused
 
     def _choose(self) -> Choice | None:
-        attempt, sending = self._attempt, self._sending
-        affinity = (attempt.affinity or "") if sending.route.is_sticky else ""
+        attempt, plan = self._attempt, self._plan
+        affinity = (attempt.affinity or "") if plan.route.is_sticky else ""
         if attempt.program is not None and (attempt.prompt or not affinity):
             affinity = attempt.program.program_id
-        request = PlacementRequest(attempt.prompt, affinity, sending.last_server)
-        now = self._parts.now()
-        return self._parts.chooser.choose(sending.service, self.log.tried, now, request)
+        request = PlacementRequest(attempt.prompt, affinity, plan.last_server)
+        now = self._components.now()
+        return self._components.chooser.choose(plan.service, self.log.tried, now, request)
 
     def _send(self, choice: Choice, last_event_id: str | None) -> OpenAnswer:
         server = choice.server
@@ -179,17 +179,17 @@
         self._last_incarnation = server.incarnation
         connection = self._connect(server)
         try:
-            self._sending.allowance.spend()
+            self._plan.allowance.spend()
         except RefusedError:
-            self._parts.pool.give_back(server, connection)
+            self._components.pool.release(server, connection)
             raise
         self.log.sent += 1
-        rank = turn_rank(self._attempt, self._parts.now())
-        send = Send(server, self._sending.body, self.left_s(), rank, last_event_id)
+        rank = turn_rank(self._attempt, self._components.now())
+        send = Send(server, self._plan.body, self.left_s(), rank, last_event_id)
         self._note_sent(choice, send)
-        sent_at = self._parts.now()
+        sent_at = self._components.now()
         if self.log.sent == 1:
-            self._parts.retries.earn(self._sending.service)
+            self._components.retries.earn(self._plan.service)
         self._take_place(server)
         try:
             answer = self._exchange(connection, send)
@@ -202,7 +202,7 @@
 
     def _connect(self, server: Server) -> ServerConnection:
         try:
-            return self._parts.pool.take(server, is_fresh=self._met_silence)
+            return self._components.pool.acquire(server, is_fresh=self._met_silence)
         except ConnectError:
             self.log.unreached += 1
             raise
@@ -210,20 +210,20 @@
     def _exchange(self, connection: ServerConnection, send: Send) -> Answer:
         may_have_run_before = self.log.may_have_run
         self.log.may_have_run = True
-        connection.send(self._parts.protocol.request_bytes(self._attempt, send), self.left_s())
-        for _ in range(MOST_FOREIGN_ANSWERS):
+        connection.send(self._components.protocol.request_bytes(self._attempt, send), self.left_s())
+        for _ in range(MAX_FOREIGN_ANSWERS):
             head = self._wait_for_head(connection, send.server.incarnation)
-            answer = self._parts.protocol.read_answer(self._attempt, send, head)
-            if answer.belongs:
+            answer = self._components.protocol.read_answer(self._attempt, send, head)
+            if answer.is_for_attempt:
                 break
             connection.read_all(self.left_s())
-            connection.finish()
+            connection.finish_response()
         else:
             raise MalformedAnswerError("only answers to other requests")
         if answer.was_not_run:
             # It says nothing of other servers that got the request before.
             self.log.may_have_run = may_have_run_before
-        elif answer.status < 300 and not answer.is_sealed:
+        elif answer.status < 300 and not answer.is_signed:
             raise MalformedAnswerError("a success without the server's signature")
         connection.keep_alive = answer.keep_alive
         return answer
@@ -232,21 +232,21 @@
         self, connection: ServerConnection, incarnation: Incarnation
     ) -> ResponseHead:
         """Return the next response head, as long as the server is worth waiting for."""
-        started_at = self._parts.now()
+        started_at = self._components.now()
         while True:
             try:
-                head = connection.read_head(self.rules.look_again_s(self._parts.now()))
+                head = connection.read_head(self.rules.look_again_s(self._components.now()))
             except AnswerTimeoutError:
-                if not self.rules.is_worth_waiting(incarnation, started_at, self._parts.now()):
+                if not self.rules.is_worth_waiting(incarnation, started_at, self._components.now()):
                     raise
                 continue
-            self._parts.directory.note_heard(incarnation, self._parts.now())
+            self._components.directory.note_heard(incarnation, self._components.now())
             return head
 
     # What became of it
 
     def _note_sent(self, choice: Choice, send: Send) -> None:
-        self._parts.decisions.write(
+        self._components.decisions.write(
             decisions.AttemptSent(
                 self._attempt.attempt_id,
                 send.server.server_id,
@@ -264,14 +264,14 @@
     def note_failure(self, server: Server, error: RelayError) -> None:
         """Note that a sending failed, and pass the server over unless the time was just over."""
         if not isinstance(error, AnswerTimeoutError) or self.left_s() > 0:
-            self._parts.directory.note_failure(server.incarnation, self._parts.now())
+            self._components.directory.note_failure(server.incarnation, self._components.now())
         if isinstance(error, AnswerTimeoutError):
             self._met_silence = True
-            self._parts.pool.forget(server.incarnation)
+            self._components.pool.close_idle(server.incarnation)
         self._note_send_failed(server, str(error), self.log.may_have_run)
 
     def _note_send_failed(self, server: Server, reason: str, may_have_run: bool) -> None:
-        self._parts.decisions.write(
+        self._components.decisions.write(
             decisions.SendFailed(self._attempt.attempt_id, server.server_id, reason, may_have_run)
         )
 
@@ -280,27 +280,27 @@
         self._note_send_failed(server, f"{opened.answer.status}", may_have_run=False)
         if opened.answer.status == HTTPStatus.MISDIRECTED_REQUEST:
             # Another server has the address: the entry is false until it changes.
-            self._parts.directory.note_failure(server.incarnation, self._parts.now())
+            self._components.directory.note_failure(server.incarnation, self._components.now())
         else:
-            self._parts.directory.note_full(server.incarnation, self._parts.now())
+            self._components.directory.note_full(server.incarnation, self._components.now())
         try:
             opened.connection.read_all(self.left_s())
         except RelayError:
             # The answer is known; its connection just can't be used again.
-            self.abandon()
+            self.cancel_answer()
             return
-        self.release()
+        self.finish_answer()
 
-    def release(self) -> None:
+    def finish_answer(self) -> None:
         """Leave the current answer, which was read to its end."""
         if self.current is None:
             return
         opened, self.current = self.current, None
         self._leave_place()
-        opened.connection.finish()
-        self._parts.pool.give_back(opened.send.server, opened.connection)
+        opened.connection.finish_response()
+        self._components.pool.release(opened.send.server, opened.connection)
 
-    def abandon(self) -> None:
+    def cancel_answer(self) -> None:
         """Cancel the current answer at its server."""
         if self.current is None:
             return
@@ -311,7 +311,7 @@
     # The place at the server
 
     def _take_place(self, server: Server) -> None:
-        self._place = self._parts.directory.started(server.incarnation)
+        self._place = self._components.directory.started(server.incarnation)
         self._tell_loads()
 
     def _leave_place(self) -> None:
@@ -322,5 +322,5 @@
 
     def _tell_loads(self) -> None:
         """Let other gateways know at once of a turn, which holds a place for long."""
-        if self._sending.route.kind is RequestKind.STREAM:
-            self._parts.loads.tell()
+        if self._plan.route.kind is RequestKind.STREAM:
+            self._components.loads.tell()
--- a/yarrowwall/dispatch/server_list.py
+++ b/yarrowwall/dispatch/server_list.py
@@ -16,11 +16,11 @@
 from yarrowwall.ports.platform import Documents
 
 #: Entries whose faults are remembered, so that each is told of once and not at every list.
-MOST_REMEMBERED = 1000
+MAX_REMEMBERED = 1000
 #: Faults that show only beside other entries or the configuration.
 _BESIDE_OTHERS = (
-    EntryFault.DOUBLED_ID,
-    EntryFault.DOUBLED_ADDRESS,
+    EntryFault.DUPLICATE_ID,
+    EntryFault.DUPLICATE_ADDRESS,
     EntryFault.UNKNOWN_SERVICE,
 )
 
@@ -55,14 +55,14 @@
         self._faults: set[_Told] = set()
         self._has_listed = False
 
-    def take_list(self, items: list[StoredObject]) -> None:
+    def apply_list(self, items: list[StoredObject]) -> None:
         """Take in the whole list."""
         servers = [server for item in items if (server := self._read(item)) is not None]
         known = {server_id: state.server for server_id, state in self._directory.states.items()}
         self._directory.replace_all(servers, self._services(), self._now())
         for name, count in Counter(item.name for item in items).items():
             if name and count > 1:
-                self._note_fault(name, EntryFault.DOUBLED_ID, f"{count} entries")
+                self._note_fault(name, EntryFault.DUPLICATE_ID, f"{count} entries")
         # The first list is no news, and a start has other things to do than to write lines.
         for server in servers if self._has_listed else ():
             self._tell(server, known.get(server.server_id), is_change=False)
@@ -71,7 +71,7 @@
             self._look_at_service(server)
         self._look_at_addresses(servers)
 
-    def take_change(self, change: Change) -> None:
+    def apply_change(self, change: Change) -> None:
         """Take in one change."""
         item = change.item
         if change.is_gone:
@@ -131,7 +131,7 @@
         for server in servers:
             others = [name for name in holders.get(server.address, ()) if name != server.server_id]
             if others:
-                self._note_fault(server.server_id, EntryFault.DOUBLED_ADDRESS, others[0])
+                self._note_fault(server.server_id, EntryFault.DUPLICATE_ADDRESS, others[0])
 
     def _forget_own_faults(self, name: str) -> None:
         """Tell anew of what is wrong with an entry that was sound meanwhile."""
@@ -143,7 +143,7 @@
         told = _Told(name, fault)
         if told in self._faults:
             return
-        if len(self._faults) >= MOST_REMEMBERED:
+        if len(self._faults) >= MAX_REMEMBERED:
             self._faults.clear()
         self._faults.add(told)
         self._log.write(decisions.EntryRefused(name[:80], fault.value, detail[:80]))
--- a/yarrowwall/dispatch/streams.py
+++ b/yarrowwall/dispatch/streams.py
@@ -4,7 +4,7 @@
 from http import HTTPStatus
 from typing import NoReturn
 
-from yarrowwall.dispatch.parts import DispatchParts
+from yarrowwall.dispatch.components import DispatchComponents
 from yarrowwall.dispatch.sender import AttemptSender, OpenAnswer
 from yarrowwall.event_stream import Event, EventSplitter
 from yarrowwall.exceptions import AnswerTimeoutError, ConnectionBrokenError, RelayError
@@ -26,16 +26,16 @@
     """
 
     def __init__(
-        self, parts: DispatchParts, attempt: Attempt, route: Route, sender: AttemptSender
+        self, components: DispatchComponents, attempt: Attempt, route: Route, sender: AttemptSender
     ) -> None:
-        self._parts = parts
+        self._components = components
         self._attempt = attempt
         self._route = route
         self._sender = sender
         self._splitter = EventSplitter()
         self._last_event_id = attempt.last_event_id
         self._last_event_at = 0.0
-        self.passed: list[Event] = []
+        self.relayed: list[Event] = []
 
     def open(self) -> OpenAnswer:
         """Send the attempt until a server begins to answer it.
@@ -50,7 +50,7 @@
         self._splitter = EventSplitter()
         self._last_event_at = opened.sent_at
         if opened.answer.status == HTTPStatus.OK:
-            state = self._parts.directory.state_of(opened.send.server.incarnation)
+            state = self._components.directory.state_of(opened.send.server.incarnation)
             if state is not None:
                 state.belief.note_sent(self._attempt.prompt)
 
@@ -64,7 +64,7 @@
             try:
                 events = self._read()
             except MemoryExhaustedError as error:
-                self._sender.abandon()
+                self._sender.cancel_answer()
                 self._fail(error)
             except RelayError as error:
                 self._go_on_elsewhere(error)
@@ -75,7 +75,7 @@
                 self._note(events)
                 yield events
                 if not self._route.is_stateful:
-                    self._sender.release_answer(sum(len(event.raw) for event in events))
+                    self._sender.release_answer_memory(sum(len(event.raw) for event in events))
 
     def _read(self) -> list[Event] | None:
         """Return the events that arrive next; None at the end of the stream."""
@@ -97,26 +97,28 @@
         rules, incarnation = self._sender.rules, opened.send.server.incarnation
         while True:
             try:
-                data = opened.connection.read_some(rules.look_again_s(self._parts.now()))
+                data = opened.connection.read_some(rules.look_again_s(self._components.now()))
             except AnswerTimeoutError:
-                if not rules.is_worth_waiting(incarnation, self._last_event_at, self._parts.now()):
+                if not rules.is_worth_waiting(
+                    incarnation, self._last_event_at, self._components.now()
+                ):
                     raise
                 continue
-            self._parts.directory.note_heard(incarnation, self._parts.now())
-            self._sender.hold_answer(len(data))
+            self._components.directory.note_heard(incarnation, self._components.now())
+            self._sender.hold_answer_memory(len(data))
             return data
 
     def _note(self, events: list[Event]) -> None:
-        now = self._parts.now()
+        now = self._components.now()
         opened = self._sender.current
-        if self.passed and opened is not None:
+        if self.relayed and opened is not None:
             gap = (now - self._last_event_at) / len(events)
-            self._parts.directory.note_pace(opened.send.server.incarnation, gap, now)
+            self._components.directory.note_pace(opened.send.server.incarnation, gap, now)
         self._last_event_at = now
         self._last_event_id = events[-1].event_id or self._last_event_id
         # A turn of a stateful route is stored whole; of others only the count is needed.
         kept = self._route.is_stateful
-        self.passed += events if kept else [Event(b"", event.event_id) for event in events]
+        self.relayed += events if kept else [Event(b"", event.event_id) for event in events]
 
     def _go_on_elsewhere(self, error: RelayError) -> None:
         """Resume the stream at another server.
@@ -125,22 +127,22 @@
         :raises StreamBrokenError: if something was.
         """
         opened = self._sender.current
-        self._sender.abandon()
+        self._sender.cancel_answer()
         if opened is not None:
             self._sender.note_failure(opened.send.server, error)
-        if not self._sender.rules.may_resume(self._parts.now()):
+        if not self._sender.rules.may_resume(self._components.now()):
             self._fail(error)
         try:
             again = self._sender.open(self._last_event_id)
         except RefusedError as refused:
             self._fail(refused)
         if again.answer.status != HTTPStatus.OK:
-            self._sender.abandon()
+            self._sender.cancel_answer()
             self._fail(error)
         self._begin(again)
 
     def _fail(self, error: RelayError) -> NoReturn:
-        if self.passed:
+        if self.relayed:
             raise StreamBrokenError(str(error)) from error
         if isinstance(error, RefusedError):
             raise error
@@ -148,8 +150,8 @@
 
     def finish(self) -> None:
         """Leave the stream, which was read to its end."""
-        self._sender.release()
+        self._sender.finish_answer()
 
     def cancel(self) -> None:
         """Cancel the stream at its server."""
-        self._sender.abandon()
+        self._sender.cancel_answer()
--- a/yarrowwall/exceptions.py
+++ b/yarrowwall/exceptions.py
@@ -57,7 +57,7 @@
         self.status = status
 
 
-class CallerGoneError(YarrowwallError):
+class CallerDisconnectedError(YarrowwallError):
     """The caller closed its connection; its attempt is to be cancelled.
 
     Raised in the middle of whatever is done for the caller. It is no :class:`RelayError`, so that
@@ -75,9 +75,9 @@
     BAD_ADDRESS = "bad_address"
     UNKNOWN_STATE = "unknown_state"
     UNKNOWN_SERVICE = "unknown_service"
-    ABSURD_FIGURE = "absurd_figure"
-    DOUBLED_ID = "doubled_id"
-    DOUBLED_ADDRESS = "doubled_address"
+    OUT_OF_RANGE = "absurd_figure"
+    DUPLICATE_ID = "doubled_id"
+    DUPLICATE_ADDRESS = "doubled_address"
 
 
 class UnusableEntryError(RelayError):
--- a/yarrowwall/gateway/bodies.py
+++ b/yarrowwall/gateway/bodies.py
@@ -5,7 +5,7 @@
 
 import eventlet
 
-from yarrowwall.exceptions import CallerGoneError, InvalidAttemptError
+from yarrowwall.exceptions import CallerDisconnectedError, InvalidAttemptError
 from yarrowwall.policy.memory_budget import MemoryBudget, MemoryExhaustedError, MemoryHold
 
 #: Bytes of a body that are read at once.
@@ -19,7 +19,7 @@
         super().__init__(f"the body exceeds {limit} bytes", HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
 
 
-class BodyLateError(CallerGoneError):
+class BodyTimeoutError(CallerDisconnectedError):
     """A body did not arrive in time."""
 
 
@@ -48,8 +48,8 @@
         :param timeout: seconds for all of it, however slowly the caller sends.
         :raises BodyTooLargeError: if it is.
         :raises MemoryExhaustedError: if there is no room for it; its rest is not read.
-        :raises BodyLateError: if it is not whole in time.
-        :raises CallerGoneError: if it ends early.
+        :raises BodyTimeoutError: if it is not whole in time.
+        :raises CallerDisconnectedError: if it ends early.
         """
         announced = self._announced or 0
         if announced > self._limit:
@@ -61,7 +61,7 @@
             return b""
         body = self._read_in_time(timeout)
         if len(body) < announced:
-            raise CallerGoneError("the body ended early")
+            raise CallerDisconnectedError("the body ended early")
         if len(body) > self._limit:
             raise BodyTooLargeError(self._limit)
         return body
@@ -69,12 +69,12 @@
     def _read_in_time(self, timeout: float) -> bytes:
         size = self._announced if self._announced is not None else self._limit + 1
         try:
-            with eventlet.Timeout(timeout, BodyLateError("the body did not arrive in time")):
+            with eventlet.Timeout(timeout, BodyTimeoutError("the body did not arrive in time")):
                 return self._read_pieces(size)
         except TimeoutError as error:
-            raise BodyLateError("the body did not arrive in time") from error
+            raise BodyTimeoutError("the body did not arrive in time") from error
         except (OSError, ValueError) as error:
-            raise CallerGoneError("the body did not arrive") from error
+            raise CallerDisconnectedError("the body did not arrive") from error
 
     def _read_pieces(self, size: int) -> bytes:
         """Return so many bytes of the body, or all if there are less; each is held as it comes."""
--- a/yarrowwall/gateway/caller_watch.py
+++ b/yarrowwall/gateway/caller_watch.py
@@ -7,11 +7,11 @@
 import eventlet
 from eventlet.hubs import get_hub
 
-from yarrowwall.exceptions import CallerGoneError
+from yarrowwall.exceptions import CallerDisconnectedError
 
 
 class CallerWatch:
-    """Raises :class:`CallerGoneError` in the entering greenthread once the caller leaves.
+    """Raises :class:`CallerDisconnectedError` in the entering greenthread once the caller leaves.
 
     It listens by the hub itself; a greenthread that waits is started and ended once a request.
 
@@ -89,4 +89,4 @@
     def _raise_in_handler(self) -> None:
         if self._is_active:
             self._is_active = False
-            self._handler.throw(CallerGoneError(self._reason))
+            self._handler.throw(CallerDisconnectedError(self._reason))
--- a/yarrowwall/gateway/parts.py
+++ b/yarrowwall/gateway/components.py
@@ -2,8 +2,8 @@
 
 from dataclasses import dataclass, field
 
-from yarrowwall.dispatch.parts import DispatchParts
-from yarrowwall.gateway.http_server import ServerLimits
+from yarrowwall.dispatch.components import DispatchComponents
+from yarrowwall.gateway.http_server import CurrentCallerLimits
 from yarrowwall.policy.freshness import Freshness
 from yarrowwall.policy.program_sizes import ProgramSizes
 from yarrowwall.ports.platform import CallerProtocol
@@ -13,7 +13,7 @@
 
 
 @dataclass
-class GatewayParts:
+class GatewayComponents:
     """What all requests of a gateway share.
 
     :param dispatch: the way to servers.
@@ -25,11 +25,11 @@
     :param freshness: the age of the configuration in force.
     """
 
-    dispatch: DispatchParts
+    dispatch: DispatchComponents
     callers: CallerProtocol
     programs: ProgramLedger
     quotas: QuotaSource
     rooms: RoomSource
-    limits: ServerLimits
+    limits: CurrentCallerLimits
     freshness: Freshness
     program_sizes: ProgramSizes = field(default_factory=ProgramSizes)
--- a/yarrowwall/gateway/exchange.py
+++ b/yarrowwall/gateway/exchange.py
@@ -7,16 +7,16 @@
 import eventlet
 
 from yarrowwall import decisions
-from yarrowwall.dispatch.sender import AttemptSender, Sending
-from yarrowwall.dispatch.whole import relay_whole
-from yarrowwall.exceptions import CallerGoneError, InvalidAttemptError
-from yarrowwall.gateway.bodies import BodyLateError, RequestBody
+from yarrowwall.dispatch.buffered import relay_buffered
+from yarrowwall.dispatch.sender import AttemptSender, SendPlan
+from yarrowwall.exceptions import CallerDisconnectedError, InvalidAttemptError
+from yarrowwall.gateway.bodies import BodyTimeoutError, RequestBody
 from yarrowwall.gateway.caller_watch import CallerWatch
 from yarrowwall.gateway.http_server import close_after_answer, end_connection
 from yarrowwall.gateway.response import Response
 from yarrowwall.gateway.routing import RouteTable
 from yarrowwall.gateway.state import GatewayState
-from yarrowwall.gateway.turn import AnswerCutError, Turn
+from yarrowwall.gateway.turn import AnswerAbortedError, Turn
 from yarrowwall.model import Attempt, RequestKind, Route
 from yarrowwall.policy.memory_budget import MemoryExhaustedError
 from yarrowwall.policy.request_time import RequestTime
@@ -31,18 +31,18 @@
         self, gateway: GatewayState, environ: dict[str, Any], start_response: Callable[..., Any]
     ) -> None:
         self._gateway = gateway
-        self._parts = gateway.parts
-        self._log = gateway.parts.dispatch.decisions
-        self._now = gateway.parts.dispatch.now
+        self._components = gateway.components
+        self._log = gateway.components.dispatch.decisions
+        self._now = gateway.components.dispatch.now
         self._environ = environ
-        self._hold = gateway.parts.dispatch.memory.open()
+        self._hold = gateway.components.dispatch.memory.open()
         self._response = Response(
-            gateway.parts, environ, start_response, lambda: gateway.sends_callers_away
+            gateway.components, environ, start_response, lambda: gateway.should_close_connections
         )
         self._attempt: Attempt | None = None
         self._time: RequestTime | None = None
         self._body = self._run()
-        gateway.under_way.add(self)
+        gateway.active_requests.add(self)
 
     def __iter__(self) -> Iterator[bytes]:
         """Return the body of the answer."""
@@ -57,10 +57,10 @@
         try:
             self._body.close()
         finally:
-            self._gateway.under_way.discard(self)
+            self._gateway.active_requests.discard(self)
             self._response.note_ended(held)
 
-    def note_in_force(self, table: RouteTable) -> None:
+    def apply_routes(self, table: RouteTable) -> None:
         """Take in the routes that are in force from now on."""
         if self._attempt is None or self._time is None:
             return
@@ -79,10 +79,10 @@
         try:
             yield from self._answer(watch)
             response.is_complete = True
-        except CallerGoneError as error:
+        except CallerDisconnectedError as error:
             self._note_left(str(error))
             end_connection()
-        except AnswerCutError:
+        except AnswerAbortedError:
             response.is_end_told = True
             raise
         except (Exception, eventlet.Timeout):
@@ -103,9 +103,11 @@
 
     def _answer(self, watch: CallerWatch) -> Iterator[bytes]:
         try:
-            attempt = self._parts.callers.read_attempt(self._environ, self._response.arrived_at)
+            attempt = self._components.callers.read_attempt(
+                self._environ, self._response.arrived_at
+            )
             self._response.attempt_id = attempt.attempt_id
-            self._gateway.wait_until_informed()
+            self._gateway.wait_for_initial_load()
             route = self._gateway.admission.match(attempt)
             time = RequestTime(attempt.arrived_at, attempt.deadline, route.timeout_s)
             self._attempt, self._time = attempt, time
@@ -134,15 +136,15 @@
         :param end: when the request's time is over, and that of a caller that sends slowly.
         :raises RefusedError: if there is no room for it.
         """
-        limit = self._parts.limits.current.body_bytes
-        body = RequestBody(self._environ, self._parts.dispatch.memory, self._hold, limit)
+        limit = self._components.limits.current.body_bytes
+        body = RequestBody(self._environ, self._components.dispatch.memory, self._hold, limit)
         try:
             return body.read(max(end - self._now(), 0.0))
         except MemoryExhaustedError as error:
             # The rest of it is not read.
             close_after_answer(self._environ)
             raise unavailable(str(error), SHORTAGE_SECONDS) from error
-        except BodyLateError:
+        except BodyTimeoutError:
             response = self._response
             response.is_end_told = True
             self._log.write(
@@ -169,22 +171,22 @@
 
     def _whole(self, attempt: Attempt, route: Route, time: RequestTime) -> bytes:
         if attempt.program is not None:
-            self._parts.program_sizes.note_lookup()
-        allowance = self._parts.quotas.allowance(attempt)
+            self._components.program_sizes.note_lookup()
+        allowance = self._components.quotas.allowance(attempt)
         allowance.begin()
         try:
             service = self._gateway.admission.service_for(route)
-            sending = Sending(attempt, route, service, time, attempt.body, allowance, self._hold)
-            sender = AttemptSender(self._parts.dispatch, sending)
-            answer, body = relay_whole(self._parts.dispatch, route, sender)
+            plan = SendPlan(attempt, route, service, time, attempt.body, allowance, self._hold)
+            sender = AttemptSender(self._components.dispatch, plan)
+            answer, body = relay_buffered(self._components.dispatch, route, sender)
             return self._response.pass_on(answer, body, sender.log.tried[-1])
         finally:
             allowance.close()
 
     def _stream(self, attempt: Attempt, route: Route, time: RequestTime) -> Iterator[bytes]:
         turn = Turn(self._gateway, attempt, route, time, self._hold, self._response)
-        loads = self._parts.dispatch.loads.ask()
-        allowance = self._parts.quotas.allowance(attempt)
+        loads = self._components.dispatch.loads.ask()
+        allowance = self._components.quotas.allowance(attempt)
         allowance.begin()
         try:
             grant = turn.open()
--- a/yarrowwall/gateway/http_server.py
+++ b/yarrowwall/gateway/http_server.py
@@ -10,7 +10,7 @@
 
 from yarrowwall import decisions
 from yarrowwall.decisions import DecisionLog
-from yarrowwall.exceptions import CallerGoneError
+from yarrowwall.exceptions import CallerDisconnectedError
 from yarrowwall.gateway.endings import Ending, EndReason
 from yarrowwall.model import CallerLimits
 from yarrowwall.sockets import receive, send_some
@@ -28,7 +28,7 @@
 #: Bytes that the kernel holds of an answer for one caller. By itself it would hold up to 4 MB,
 #: which counts as the machine's memory; 64 KB are 5 ms at 100 Mbit/s.
 SEND_BUFFER_BYTES = 64 * 1024
-_MOST_CONNECTIONS = 3000
+_MAX_CONNECTIONS = 3000
 _EMPTY_LINES = (b"\r\n", b"\n")
 
 
@@ -58,7 +58,7 @@
         except OSError as error:
             self.failure = Ending(EndReason.WRITE_FAILED, str(error))
             raise
-        except CallerGoneError:
+        except CallerDisconnectedError:
             self.failure = Ending(EndReason.LEFT_WHILE_WRITING)
             raise
         return len(data)
@@ -108,14 +108,14 @@
         return self.last
 
 
-class ServerLimits:
+class CurrentCallerLimits:
     """Limits that every connection looks up anew for each request."""
 
     def __init__(self) -> None:
         self.current = CallerLimits()
 
 
-def _protocol_class(limits: ServerLimits, log: DecisionLog) -> type:
+def _protocol_class(limits: CurrentCallerLimits, log: DecisionLog) -> type:
     """Return the handler class of a server whose limits are ``limits``."""
 
     class GatewayProtocol(eventlet.wsgi.HttpProtocol):
@@ -202,7 +202,7 @@
 def serve(
     listener: socket.socket,
     application: Callable[..., Any],
-    limits: ServerLimits,
+    limits: CurrentCallerLimits,
     log: DecisionLog,
 ) -> None:
     """Serve an application until the listener is closed."""
@@ -214,6 +214,6 @@
         protocol=_protocol_class(limits, log),
         log_output=False,
         debug=False,
-        max_size=_MOST_CONNECTIONS,
+        max_size=_MAX_CONNECTIONS,
         minimum_chunk_size=1,
     )
--- a/yarrowwall/gateway/response.py
+++ b/yarrowwall/gateway/response.py
@@ -5,13 +5,13 @@
 from typing import Any
 
 from yarrowwall import decisions
+from yarrowwall.gateway.components import GatewayComponents
 from yarrowwall.gateway.endings import Ending, EndReason
 from yarrowwall.gateway.http_server import (
     close_after_answer,
     expect_stream_read,
     write_failure,
 )
-from yarrowwall.gateway.parts import GatewayParts
 from yarrowwall.model import Answer
 from yarrowwall.refusals import Refusal
 
@@ -29,14 +29,14 @@
 
     def __init__(
         self,
-        parts: GatewayParts,
+        components: GatewayComponents,
         environ: dict[str, Any],
         start_response: Callable[..., Any],
         sends_away: Callable[[], bool],
     ) -> None:
-        self._callers = parts.callers
-        self._log = parts.dispatch.decisions
-        self._now = parts.dispatch.now
+        self._callers = components.callers
+        self._log = components.dispatch.decisions
+        self._now = components.dispatch.now
         self._environ = environ
         self._start_response = start_response
         self._sends_away = sends_away
--- a/yarrowwall/gateway/state.py
+++ b/yarrowwall/gateway/state.py
@@ -6,8 +6,8 @@
 
 from yarrowwall import decisions
 from yarrowwall.gateway.admission import Admission
+from yarrowwall.gateway.components import GatewayComponents
 from yarrowwall.gateway.keys import key_changes
-from yarrowwall.gateway.parts import GatewayParts
 from yarrowwall.gateway.routing import RouteTable
 from yarrowwall.model import Configuration
 
@@ -19,10 +19,10 @@
 START_HOLD_SECONDS = 0.4
 
 
-class UnderWay(Protocol):
+class ActiveRequest(Protocol):
     """A request under way."""
 
-    def note_in_force(self, table: RouteTable) -> None:
+    def apply_routes(self, table: RouteTable) -> None:
         """Take in the routes that are in force from now on."""
 
     def note_process_ended(self) -> None:
@@ -32,33 +32,33 @@
 class GatewayState:
     """What a gateway knows, and whether it takes requests.
 
-    :ivar under_way: requests whose answers are not written to their end.
+    :ivar active_requests: requests whose answers are not written to their end.
     """
 
-    def __init__(self, parts: GatewayParts) -> None:
-        self.parts = parts
-        self._now = parts.dispatch.now
-        self.admission = Admission(parts.freshness, self._now)
-        self.under_way: set[UnderWay] = set()
+    def __init__(self, components: GatewayComponents) -> None:
+        self.components = components
+        self._now = components.dispatch.now
+        self.admission = Admission(components.freshness, self._now)
+        self.active_requests: set[ActiveRequest] = set()
         self._stops_at: float | None = None
         self._refuses_from = 0.0
         self._holds_until = self._now() + START_HOLD_SECONDS
-        self._informed = Event()
+        self._initial_load = Event()
 
-    def note_informed(self) -> None:
+    def note_initial_load(self) -> None:
         """Note that configuration, servers and replicas were read for the first time."""
-        if not self._informed.ready():
-            self._informed.send()
+        if not self._initial_load.ready():
+            self._initial_load.send()
 
-    def wait_until_informed(self) -> None:
+    def wait_for_initial_load(self) -> None:
         """Hold a request that came before the first reading, for a moment at most.
 
         Right after a start callers may have tried once already, and a refusal would end
         their programs.
         """
         left = self._holds_until - self._now()
-        if left > 0.0 and not self._informed.ready():
-            self._informed.wait(left)
+        if left > 0.0 and not self._initial_load.ready():
+            self._initial_load.wait(left)
 
     @property
     def table(self) -> RouteTable | None:
@@ -71,25 +71,25 @@
         return self._stops_at is not None
 
     @property
-    def sends_callers_away(self) -> bool:
+    def should_close_connections(self) -> bool:
         """Return whether callers had better come back through another gateway.
 
         One that is out of the replicas' reach can run no turn, one whose configuration is
         too old serves no key, and callers stay with a connection for as long as it is kept.
         """
-        is_able = self.parts.programs.is_reachable and self.serves_keys
+        is_able = self.components.programs.is_reachable and self.serves_keys
         return self.is_stopping or not is_able
 
     @property
     def configuration_age_s(self) -> float:
         """Return the seconds since the configuration in force was proved to be the newest."""
-        return self.parts.freshness.age_s(self._now())
+        return self.components.freshness.age_s(self._now())
 
     @property
     def serves_keys(self) -> bool:
         """Return whether the configuration is fresh enough for callers with keys, if any."""
         needs_keys = self.table is not None and self.table.needs_keys
-        return not needs_keys or self.parts.freshness.may_serve_keys(self._now())
+        return not needs_keys or self.components.freshness.may_serve_keys(self._now())
 
     def stop(self, now: float, stops_at: float) -> None:
         """Close connections behind their answers; later take only what ends in time.
@@ -102,11 +102,11 @@
     @property
     def running(self) -> int:
         """Return how many requests are under way."""
-        return len(self.under_way)
+        return len(self.active_requests)
 
     def note_process_ended(self) -> None:
         """Log which requests the end of the process ends."""
-        for request in self.under_way:
+        for request in self.active_requests:
             request.note_process_ended()
 
     def has_time_for(self, now: float, end: float) -> bool:
@@ -114,16 +114,16 @@
         is_welcome = self._stops_at is None or now < self._refuses_from
         return is_welcome or end <= (self._stops_at or end)
 
-    def put_in_force(self, configuration: Configuration) -> bool:
+    def apply_configuration(self, configuration: Configuration) -> bool:
         """Take a configuration unless it is older than the one in force."""
         if self.table is not None and configuration.version <= self.table.configuration.version:
             return False
         before = self.table.configuration if self.table is not None else None
         self.admission.table = RouteTable(configuration)
-        for request in self.under_way:
-            request.note_in_force(self.admission.table)
-        self.parts.limits.current = configuration.limits
-        log = self.parts.dispatch.decisions
+        for request in self.active_requests:
+            request.apply_routes(self.admission.table)
+        self.components.limits.current = configuration.limits
+        log = self.components.dispatch.decisions
         log.write(
             decisions.ConfigurationInForce(
                 configuration.version, len(configuration.routes), len(configuration.services)
--- a/yarrowwall/gateway/turn.py
+++ b/yarrowwall/gateway/turn.py
@@ -5,7 +5,7 @@
 from http import HTTPStatus
 
 from yarrowwall import decisions
-from yarrowwall.dispatch.sender import AttemptSender, Sending
+from yarrowwall.dispatch.sender import AttemptSender, SendPlan
 from yarrowwall.dispatch.streams import StreamBrokenError, StreamRelay
 from yarrowwall.exceptions import (
     BudgetExhaustedError,
@@ -26,7 +26,7 @@
 from yarrowwall.refusals import Refusal, RefusedError, unavailable
 
 
-class AnswerCutError(Exception):
+class AnswerAbortedError(Exception):
     """Raised through the WSGI server so that it closes the connection without an end."""
 
 
@@ -47,7 +47,7 @@
         response: Response,
     ) -> None:
         self._gateway = gateway
-        self._parts = gateway.parts
+        self._components = gateway.components
         self._attempt = attempt
         self._route = route
         self._time = time
@@ -62,7 +62,7 @@
         """
         engine = self._service.engine if self._service is not None else None
         tokens_per_event = engine.tokens_per_event if engine is not None else 1
-        programs = self._parts.programs
+        programs = self._components.programs
         try:
             return programs.open_turn(
                 self._attempt, self._route, tokens_per_event, lambda: self._time.end
@@ -81,45 +81,45 @@
 
         :param loads: waited for before a server is chosen.
         :raises RefusedError: if no server runs the turn.
-        :raises AnswerCutError: if it breaks off once its beginning was passed on.
+        :raises AnswerAbortedError: if it breaks off once its beginning was passed on.
         """
         sender = self._sender(grant, allowance)
-        relay = StreamRelay(self._parts.dispatch, self._attempt, self._route, sender)
+        relay = StreamRelay(self._components.dispatch, self._attempt, self._route, sender)
         under_way = ExitStack()
         try:
             loads.wait()
             self._hold_turns_before(grant)
             self._begin_program(grant, allowance)
-            under_way.enter_context(self._parts.rooms.turn(self._attempt, self._service))
+            under_way.enter_context(self._components.rooms.turn(self._attempt, self._service))
             opened = relay.open()
             if opened.answer.status != HTTPStatus.OK:
                 yield self._pass_on_failure(opened.answer, sender)
                 return
             for events in relay.events():
-                grant.cover(relay.passed)
-                if len(events) == len(relay.passed):
+                grant.cover(relay.relayed)
+                if len(events) == len(relay.relayed):
                     self._response.begin_stream(opened.answer)
                 self._response.note_given(len(events))
                 yield b"".join(event.raw for event in events)
             # Its server has done its part, however long the store takes.
             relay.finish()
-            grant.complete(relay.passed, sender.last_server)
-            if not relay.passed:
+            grant.complete(relay.relayed, sender.last_server)
+            if not relay.relayed:
                 self._response.begin_stream(opened.answer)
-            self._response.note_answered(HTTPStatus.OK, sender.log.tried[-1], len(relay.passed))
+            self._response.note_answered(HTTPStatus.OK, sender.log.tried[-1], len(relay.relayed))
         except (StreamBrokenError, StoreUncertainError) as error:
-            self._parts.dispatch.decisions.write(
-                decisions.AnswerBrokenOff(self._attempt.attempt_id, str(error), len(relay.passed))
+            self._components.dispatch.decisions.write(
+                decisions.AnswerBrokenOff(self._attempt.attempt_id, str(error), len(relay.relayed))
             )
-            raise AnswerCutError from None
+            raise AnswerAbortedError from None
         finally:
             under_way.close()
             relay.cancel()
-            grant.close(relay.passed, sender.last_server)
+            grant.close(relay.relayed, sender.last_server)
 
     def _sender(self, grant: TurnGrant, allowance: Allowance) -> AttemptSender:
         service = self._gateway.admission.service_for(self._route)
-        sending = Sending(
+        plan = SendPlan(
             self._attempt,
             self._route,
             service,
@@ -129,7 +129,7 @@
             self._hold,
             grant.last_server,
         )
-        return AttemptSender(self._parts.dispatch, sending)
+        return AttemptSender(self._components.dispatch, plan)
 
     def _hold_turns_before(self, grant: TurnGrant) -> None:
         """Count what a turn's body has beyond what its caller sent.
@@ -152,21 +152,21 @@
             return
         if grant.is_first:
             self._ask_for_room(grant, allowance)
-        self._parts.program_sizes.note_turn(self._route.name, grant.is_first)
+        self._components.program_sizes.note_turn(self._route.name, grant.is_first)
 
     def _ask_for_room(self, grant: TurnGrant, allowance: Allowance) -> None:
-        sizes, service = self._parts.program_sizes, self._service
+        sizes, service = self._components.program_sizes, self._service
         if service is None or service.engine is None:
             allowance.begin_program(sizes.expected(self._route.name))
             return
         # A lender counts each program that it welcomes, so the servers' room goes first.
         turns = sizes.expected_turns(self._route.name)
         new = NewProgram(self._attempt, service, turns, grant.is_continued)
-        self._parts.rooms.begin_program(new)
+        self._components.rooms.begin_program(new)
         try:
             allowance.begin_program(sizes.expected(self._route.name))
         except RefusedError:
-            self._parts.rooms.did_not_begin(new)
+            self._components.rooms.did_not_begin(new)
             raise
 
     def _pass_on_failure(self, answer: Answer, sender: AttemptSender) -> bytes:
@@ -178,9 +178,9 @@
         try:
             body = opened.connection.read_all(sender.left_s()) if opened is not None else b""
         except RelayError as error:
-            sender.abandon()
+            sender.cancel_answer()
             if opened is not None:
                 sender.note_failure(opened.send.server, error)
             raise sender.refused(str(error)) from error
-        sender.release()
+        sender.finish_answer()
         return self._response.pass_on(answer, body, sender.log.tried[-1])
--- a/yarrowwall/listening.py
+++ b/yarrowwall/listening.py
@@ -16,7 +16,7 @@
 _CLOSED = {errno.EBADF, errno.EINVAL, errno.ENOTSOCK}
 
 
-class SteadyListener:
+class ResilientListener:
     """A listening socket for servers that take a failed accept for their end.
 
     A connection that was aborted before it was accepted, or a process without descriptors, fails
--- a/yarrowwall/machine/gateway_followers.py
+++ b/yarrowwall/machine/gateway_followers.py
@@ -40,7 +40,7 @@
         self._directory = directory
         self._views = views
         self._log = log
-        freshness = gateway.parts.freshness
+        freshness = gateway.components.freshness
         self._probe = FreshnessProbe(
             node_id,
             store,
@@ -66,8 +66,8 @@
             KindFollower(
                 store,
                 documents.servers_kind,
-                servers.take_list,
-                servers.take_change,
+                servers.apply_list,
+                servers.apply_change,
                 log,
                 self._note_read,
                 watch_s=LONG_WATCH_SECONDS,
@@ -99,7 +99,7 @@
 
     def _note_read(self, revision: int) -> None:
         if self.is_informed:
-            self._gateway.note_informed()
+            self._gateway.note_initial_load()
 
     # Configuration
 
@@ -121,7 +121,7 @@
             self._put_in_force(configuration)
 
     def _put_in_force(self, configuration: Configuration) -> None:
-        if self._gateway.put_in_force(configuration):
+        if self._gateway.apply_configuration(configuration):
             self._directory.take_services(configuration.services)
 
     # Groups of replicas
--- a/yarrowwall/machine/gateway_role.py
+++ b/yarrowwall/machine/gateway_role.py
@@ -12,12 +12,12 @@
 from yarrowwall.capacity.load_reports import LoadReporter
 from yarrowwall.capacity.program_rooms import ProgramRooms
 from yarrowwall.decisions import DecisionLog
-from yarrowwall.dispatch.parts import DispatchParts
+from yarrowwall.dispatch.components import DispatchComponents
 from yarrowwall.dispatch.pool import ConnectionPool
+from yarrowwall.gateway.components import GatewayComponents
 from yarrowwall.gateway.gateway import Gateway
-from yarrowwall.gateway.http_server import ServerLimits, serve
-from yarrowwall.gateway.parts import GatewayParts
-from yarrowwall.listening import SteadyListener
+from yarrowwall.gateway.http_server import CurrentCallerLimits, serve
+from yarrowwall.listening import ResilientListener
 from yarrowwall.machine.gateway_followers import GatewayFollowers
 from yarrowwall.machine.listeners import EarlyListeners
 from yarrowwall.machine.settings import GatewaySettings, MachineSettings
@@ -68,7 +68,7 @@
         self._directory = ServerDirectory(settings.zone)
         self._pool = ConnectionPool(time.monotonic, time.time)
         self._directory.on_removed = self._pool.end_incarnation
-        self._limits = ServerLimits()
+        self._limits = CurrentCallerLimits()
         self._memory = MemoryBudget(MemoryBounds.of_machine(settings.memory_mb))
         self._store = store
         self._views = GroupViews(self._note_view)
@@ -89,7 +89,7 @@
         self._quotas = QuotaBorrower(settings.zone, self._views, links, log, time.monotonic)
         bounds = settings.bounds
         self._freshness = Freshness(bounds.revocation_s, bounds.configuration_s)
-        dispatch = DispatchParts(
+        dispatch = DispatchComponents(
             self._directory,
             self._pool,
             adapter.servers,
@@ -99,7 +99,7 @@
             time.monotonic,
         )
         self.gateway = Gateway(
-            GatewayParts(
+            GatewayComponents(
                 dispatch,
                 adapter.callers,
                 self._ledger,
@@ -125,11 +125,11 @@
         self._loads.start()
         if self._settings.takes_forwarded:
             self._start_forwarding()
-        callers = SteadyListener(self._listeners.take(self._own.http_address), self._log)
+        callers = ResilientListener(self._listeners.take(self._own.http_address), self._log)
         eventlet.spawn_n(serve, callers, self.gateway, self._limits, self._log)
         eventlet.spawn_n(
             eventlet.wsgi.server,
-            SteadyListener(self._listeners.take(self._own.readiness_address), self._log),
+            ResilientListener(self._listeners.take(self._own.readiness_address), self._log),
             self._answer_readiness,
             log_output=False,
         )
@@ -142,7 +142,7 @@
         except OSError as error:
             self._log.write(decisions.DependencyChanged("peer port", False, str(error)))
             return
-        peers = SteadyListener(plain, self._log)
+        peers = ResilientListener(plain, self._log)
         eventlet.spawn_n(serve_requests, peers, self._forwarder.handle, self._log)
         self._finder.start()
 
--- a/yarrowwall/machine/process.py
+++ b/yarrowwall/machine/process.py
@@ -11,7 +11,7 @@
 from yarrowwall import decisions
 from yarrowwall.decisions import DecisionLog
 from yarrowwall.exceptions import SettingsError
-from yarrowwall.listening import SteadyListener
+from yarrowwall.listening import ResilientListener
 from yarrowwall.machine.gateway_role import GatewayService
 from yarrowwall.machine.listeners import EarlyListeners
 from yarrowwall.machine.replica_role import ReplicaService
@@ -120,7 +120,7 @@
 
     def _serve_metrics(self) -> None:
         plain = self._listeners.take(self._settings.metrics_address)
-        serve_metrics(SteadyListener(plain, self._log), self._render_metrics)
+        serve_metrics(ResilientListener(plain, self._log), self._render_metrics)
 
     def _render_metrics(self) -> bytes:
         for part in self._parts:
--- a/yarrowwall/machine/replica_role.py
+++ b/yarrowwall/machine/replica_role.py
@@ -6,7 +6,7 @@
 import eventlet
 
 from yarrowwall.decisions import DecisionLog
-from yarrowwall.listening import SteadyListener
+from yarrowwall.listening import ResilientListener
 from yarrowwall.machine.listeners import EarlyListeners
 from yarrowwall.machine.registration import Registration
 from yarrowwall.machine.replica_requests import KeptReplica, ReplicaRequests
@@ -132,7 +132,7 @@
 
     def start(self) -> None:
         """Begin to serve."""
-        listener = SteadyListener(self._listeners.take(self._settings.peer_address), self._log)
+        listener = ResilientListener(self._listeners.take(self._settings.peer_address), self._log)
         eventlet.spawn_n(serve_requests, listener, self._requests.handle, self._log)
         for follower in self._followers:
             follower.start()
--- a/yarrowwall/metrics.py
+++ b/yarrowwall/metrics.py
@@ -13,7 +13,7 @@
 
 from yarrowwall import decisions
 from yarrowwall.decisions import Decision
-from yarrowwall.listening import SteadyListener
+from yarrowwall.listening import ResilientListener
 
 if TYPE_CHECKING:
     from prometheus_client.metrics_core import Metric
@@ -276,7 +276,7 @@
     yield from metrics.values()
 
 
-def serve_metrics(listener: SteadyListener, render: Callable[[], bytes]) -> None:
+def serve_metrics(listener: ResilientListener, render: Callable[[], bytes]) -> None:
     """Tell the metrics on a listening socket until the process ends."""
 
     def answer(environ: dict[str, Any], start_response: Callable[..., Any]) -> Iterable[bytes]:
--- a/yarrowwall/model.py
+++ b/yarrowwall/model.py
@@ -127,29 +127,29 @@
 class Incarnation(NamedTuple):
     """One incarnation of a server, from a start to its end; a server may start again under its id.
 
-    :param born_ms: Unix time of the start, by the server's own clock; None if it is not told.
+    :param start_ms: Unix time of the start, by the server's own clock; None if it is not told.
     """
 
     server_id: str
-    born_ms: int | None = None
+    start_ms: int | None = None
 
     @property
     def text(self) -> str:
         """Return it as records and load reports name it; an id holds no blank."""
-        return self.server_id if self.born_ms is None else f"{self.server_id} {self.born_ms}"
+        return self.server_id if self.start_ms is None else f"{self.server_id} {self.start_ms}"
 
     def is_before(self, other: "Incarnation") -> bool:
         """Return whether this is an earlier one of the same server; one untold is the first."""
-        if other.born_ms is None:
+        if other.start_ms is None:
             return False
-        return self.born_ms is None or self.born_ms < other.born_ms
+        return self.start_ms is None or self.start_ms < other.start_ms
 
 
 @dataclass(frozen=True)
 class Server:
     """A server as the platform lists it.
 
-    :param born_ms: Unix time of its start; None where servers do not tell it.
+    :param start_ms: Unix time of its start; None where servers do not tell it.
     """
 
     server_id: str
@@ -158,12 +158,12 @@
     zone: str
     slots: int
     is_draining: bool
-    born_ms: int | None = None
+    start_ms: int | None = None
 
     @cached_property
     def incarnation(self) -> Incarnation:
         """Return the incarnation of which this is told; each request looks it up some ten times."""
-        return Incarnation(self.server_id, self.born_ms)
+        return Incarnation(self.server_id, self.start_ms)
 
     @cached_property
     def incarnation_text(self) -> str:
@@ -184,14 +184,14 @@
     """What a request says about the program it belongs to.
 
     :param budget: tokens that all turns of the program may emit; None without a bound.
-    :param most_tokens: the most tokens that this turn may emit.
+    :param max_tokens: the most tokens that this turn may emit.
     :param previous_turn: attempt id of the turn that this one goes on from.
     :param finish_at: when the whole program should be over; None if untold.
     """
 
     program_id: str
     budget: int | None
-    most_tokens: int
+    max_tokens: int
     previous_turn: str | None
     finish_at: float | None
 
@@ -261,13 +261,13 @@
 
     :param was_not_run: the server vouches that the request has not run and never will.
     :param belongs: whether it names the attempt that was sent.
-    :param is_sealed: whether it carries the server's signature.
+    :param is_signed: whether it carries the server's signature.
     :param keep_alive: seconds that the server keeps an idle connection; None if untold.
     """
 
     status: int
     headers: list[Header]
     was_not_run: bool
-    belongs: bool
-    is_sealed: bool
+    is_for_attempt: bool
+    is_signed: bool
     keep_alive: float | None
--- a/yarrowwall/platform/callers.py
+++ b/yarrowwall/platform/callers.py
@@ -12,7 +12,7 @@
 #: Seconds that a client without a deadline is held to wait.
 _DEFAULT_DEADLINE = 30.0
 #: Names of headers whose comparable spelling is remembered: those that clients really send.
-MOST_NAMES = 512
+MAX_NAMES = 512
 #: Headers of one connection, those that the system sets itself, and callers' secrets.
 _DROPPED = {
     "connection",
@@ -25,7 +25,7 @@
     "expect",
     "host",
     "content-length",
-    *(name.lower() for name in names.NOT_PASSED_ON),
+    *(name.lower() for name in names.STRIPPED_HEADERS),
 }
 _DROPPED_FROM_ANSWERS = {
     "connection",
@@ -94,7 +94,7 @@
     return [(name, value) for name, value in headers if _canonical(name) not in dropped]
 
 
-@lru_cache(MOST_NAMES)
+@lru_cache(MAX_NAMES)
 def _canonical(name: str) -> str:
     """Return a header's name in the one spelling that it is compared in.
 
--- a/yarrowwall/platform/names.py
+++ b/yarrowwall/platform/names.py
@@ -27,7 +27,7 @@
 
 #: Headers that are the system's to set or the caller's own secret: whatever a client sends in
 #: them reaches no server.
-NOT_PASSED_ON = (
+STRIPPED_HEADERS = (
     API_KEY,
     TENANT,
     DEADLINE,
--- a/yarrowwall/platform/objects.py
+++ b/yarrowwall/platform/objects.py
@@ -11,7 +11,7 @@
 
 #: Digits of the longest whole number that is read as one, those of 64 bits. Python refuses to
 #: read numbers of some thousand digits, and messages between machines hold 64 bits.
-_MOST_DIGITS = 18
+_MAX_DIGITS = 18
 
 
 def read_json(data: bytes) -> Any:
@@ -27,7 +27,7 @@
 
 
 def _whole(digits: str) -> int | float:
-    return int(digits) if len(digits) <= _MOST_DIGITS else float(digits)
+    return int(digits) if len(digits) <= _MAX_DIGITS else float(digits)
 
 
 def read_object(document: object) -> StoredObject:
--- a/yarrowwall/platform/server_entries.py
+++ b/yarrowwall/platform/server_entries.py
@@ -11,10 +11,10 @@
 #: type, they show another writer all the same.
 _UNUSED_FIELDS = (("version", str), ("cold_left_ms", int), ("seq", int))
 #: Most requests that a server can be held to work on at once; real ones have some dozens.
-MOST_SLOTS = 100_000
+MAX_SLOTS = 100_000
 #: Seconds that the time of day of a server may be ahead of this machine's. Steps of some seconds
 #: are usual; a start further ahead would hide each true one of that id until then.
-MOST_AHEAD_SECONDS = 3600.0
+MAX_AHEAD_SECONDS = 3600.0
 
 
 def read_server(name: str, spec: dict[str, Any], unix_s: float) -> Server:
@@ -78,15 +78,15 @@
 
 def _slots(spec: dict[str, Any]) -> int:
     slots: int = _field(spec, "slots", int)
-    if not 0 < slots <= MOST_SLOTS:
-        raise UnusableEntryError(EntryFault.ABSURD_FIGURE, "slots")
+    if not 0 < slots <= MAX_SLOTS:
+        raise UnusableEntryError(EntryFault.OUT_OF_RANGE, "slots")
     return slots
 
 
 def _born_ms(spec: dict[str, Any], unix_s: float) -> int | None:
     if "born" not in spec:
         return None
-    born_ms: int = _field(spec, "born", int)
-    if not 0 < born_ms <= (unix_s + MOST_AHEAD_SECONDS) * 1000.0:
-        raise UnusableEntryError(EntryFault.ABSURD_FIGURE, "born")
-    return born_ms
+    start_ms: int = _field(spec, "born", int)
+    if not 0 < start_ms <= (unix_s + MAX_AHEAD_SECONDS) * 1000.0:
+        raise UnusableEntryError(EntryFault.OUT_OF_RANGE, "born")
+    return start_ms
--- a/yarrowwall/platform/store.py
+++ b/yarrowwall/platform/store.py
@@ -163,7 +163,7 @@
         idle = self._idle.pop(lane, None)
         connection, opened_at_s = idle if idle is not None else (None, 0.0)
         try:
-            if connection is None or not connection.is_quiet():
+            if connection is None or not connection.has_no_pending_input():
                 opened_at_s = self._now()
                 connection = ServerConnection(self._address, min(_CONNECT_SECONDS, timeout))
             if lane.startswith(_WATCH_LANE):
@@ -171,7 +171,7 @@
             connection.send(self._request(method, path, body), timeout)
             head = connection.read_head(timeout)
             data = connection.read_all(timeout)
-            connection.finish()
+            connection.finish_response()
         except RelayError as error:
             if connection is not None:
                 connection.close()
--- a/yarrowwall/policy/servers.py
+++ b/yarrowwall/policy/servers.py
@@ -130,7 +130,7 @@
         state = self.states.get(incarnation.server_id)
         if state is None or state.vanished_at is not None:
             return
-        if incarnation.born_ms is None or not incarnation.is_before(state.incarnation):
+        if incarnation.start_ms is None or not incarnation.is_before(state.incarnation):
             state.vanished_at = now
 
     def forget_vanished(self, now: float) -> None:
--- a/yarrowwall/replication/rpc.py
+++ b/yarrowwall/replication/rpc.py
@@ -20,7 +20,7 @@
 from yarrowwall.messages.codec import decode, encode
 from yarrowwall.messages.exceptions import MalformedMessageError, UnknownMessageError
 from yarrowwall.replication.exceptions import FrameError, LinkDownError
-from yarrowwall.sockets import Receiver, open_socket, set_silence_limits
+from yarrowwall.sockets import Receiver, open_socket, set_tcp_options
 
 #: Longest frame that is read; longer ones close the connection.
 MOST_FRAME_BYTES = 64 * 1024 * 1024
@@ -343,7 +343,7 @@
             connection, (host, port) = listener.accept()
         except OSError:
             return
-        set_silence_limits(connection)
+        set_tcp_options(connection)
         _serve_connection(connection, f"{host}:{port}", handle, log)
 
 
--- a/yarrowwall/sockets.py
+++ b/yarrowwall/sockets.py
@@ -18,18 +18,18 @@
 #: Milliseconds that sent bytes may stay unacknowledged; a silent peer never resets.
 USER_TIMEOUT_MS = 2500
 #: Seconds of silence before and between the probes that find a dark peer, and their count.
-PROBE_SECONDS = 1
-PROBE_COUNT = 2
+KEEPALIVE_SECONDS = 1
+KEEPALIVE_COUNT = 2
 
 
-def set_silence_limits(connection: socket.socket) -> None:
+def set_tcp_options(connection: socket.socket) -> None:
     """Let a connection send at once and find out when its peer has gone dark."""
     for option, value in (
         (socket.TCP_NODELAY, 1),
         (socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS),
-        (socket.TCP_KEEPIDLE, PROBE_SECONDS),
-        (socket.TCP_KEEPINTVL, PROBE_SECONDS),
-        (socket.TCP_KEEPCNT, PROBE_COUNT),
+        (socket.TCP_KEEPIDLE, KEEPALIVE_SECONDS),
+        (socket.TCP_KEEPINTVL, KEEPALIVE_SECONDS),
+        (socket.TCP_KEEPCNT, KEEPALIVE_COUNT),
     ):
         connection.setsockopt(socket.IPPROTO_TCP, option, value)
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
@@ -45,7 +45,7 @@
     host, _, port = address.rpartition(":")
     connection = green_socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
-        set_silence_limits(connection)
+        set_tcp_options(connection)
         connection.settimeout(timeout)
         connection.connect((host, int(port)))
     except TimeoutError as error:
@@ -191,7 +191,7 @@
         return 0
 
 
-def is_quiet(connection: socket.socket) -> bool:
+def has_no_pending_input(connection: socket.socket) -> bool:
     """Return whether neither bytes nor an end wait to be received."""
     raw = connection.fd  # type: ignore[attr-defined]
     try:
