--- a/yarrowwall/gateway/components.py
+++ b/yarrowwall/gateway/components.py
@@ -20,7 +20,7 @@
     :param callers: reads callers' requests, and writes the heads of answers.
     :param programs: budgets and turns of programs.
     :param quotas: limits of tenants.
-    :param rooms: whether there is room for new programs.
+    :param admission: whether there is room for new programs.
     :param limits: bounds on what callers may send.
     :param freshness: the age of the configuration in force.
     """
@@ -29,7 +29,7 @@
     callers: CallerProtocol
     programs: ProgramLedger
     quotas: QuotaSource
-    rooms: RoomSource
+    admission: RoomSource
     limits: CurrentCallerLimits
     freshness: Freshness
     program_sizes: ProgramSizes = field(default_factory=ProgramSizes)
--- a/yarrowwall/gateway/exchange.py
+++ b/yarrowwall/gateway/exchange.py
@@ -108,7 +108,7 @@
             )
             self._response.attempt_id = attempt.attempt_id
             self._gateway.wait_for_initial_load()
-            route = self._gateway.admission.match(attempt)
+            route = self._gateway.router.match(attempt)
             time = RequestTime(attempt.arrived_at, attempt.deadline, route.timeout_s)
             self._attempt, self._time = attempt, time
             attempt.body = self._read_body(time.end)
@@ -175,7 +175,7 @@
         allowance = self._components.quotas.allowance(attempt)
         allowance.begin()
         try:
-            service = self._gateway.admission.service_for(route)
+            service = self._gateway.router.service_for(route)
             plan = SendPlan(attempt, route, service, time, attempt.body, allowance, self._hold)
             sender = AttemptSender(self._components.dispatch, plan)
             answer, body = relay_buffered(self._components.dispatch, route, sender)
--- a/yarrowwall/gateway/admission.py
+++ b/yarrowwall/gateway/request_router.py
@@ -11,7 +11,7 @@
 from yarrowwall.refusals import Refusal, RefusedError, unavailable
 
 
-class Admission:
+class RequestRouter:
     """Finds route and tenant of attempts by the configuration in force.
 
     :param now: the monotonic clock.
--- a/yarrowwall/gateway/state.py
+++ b/yarrowwall/gateway/state.py
@@ -5,9 +5,9 @@
 from eventlet.event import Event
 
 from yarrowwall import decisions
-from yarrowwall.gateway.admission import Admission
 from yarrowwall.gateway.components import GatewayComponents
 from yarrowwall.gateway.keys import key_changes
+from yarrowwall.gateway.request_router import RequestRouter
 from yarrowwall.gateway.routing import RouteTable
 from yarrowwall.model import Configuration
 
@@ -38,7 +38,7 @@
     def __init__(self, components: GatewayComponents) -> None:
         self.components = components
         self._now = components.dispatch.now
-        self.admission = Admission(components.freshness, self._now)
+        self.router = RequestRouter(components.freshness, self._now)
         self.active_requests: set[ActiveRequest] = set()
         self._stops_at: float | None = None
         self._refuses_from = 0.0
@@ -63,7 +63,7 @@
     @property
     def table(self) -> RouteTable | None:
         """Return the routes and keys in force; None before the first configuration."""
-        return self.admission.table
+        return self.router.table
 
     @property
     def is_stopping(self) -> bool:
@@ -119,9 +119,9 @@
         if self.table is not None and configuration.version <= self.table.configuration.version:
             return False
         before = self.table.configuration if self.table is not None else None
-        self.admission.table = RouteTable(configuration)
+        self.router.table = RouteTable(configuration)
         for request in self.active_requests:
-            request.apply_routes(self.admission.table)
+            request.apply_routes(self.router.table)
         self.components.limits.current = configuration.limits
         log = self.components.dispatch.decisions
         log.write(
--- a/yarrowwall/gateway/turn.py
+++ b/yarrowwall/gateway/turn.py
@@ -53,7 +53,7 @@
         self._time = time
         self._hold = hold
         self._response = response
-        self._service = gateway.admission.main_service(route)
+        self._service = gateway.router.main_service(route)
 
     def open(self) -> TurnGrant:
         """Return the record store's leave to run the turn.
@@ -90,7 +90,7 @@
             loads.wait()
             self._hold_turns_before(grant)
             self._begin_program(grant, allowance)
-            under_way.enter_context(self._components.rooms.turn(self._attempt, self._service))
+            under_way.enter_context(self._components.admission.turn(self._attempt, self._service))
             opened = relay.open()
             if opened.answer.status != HTTPStatus.OK:
                 yield self._pass_on_failure(opened.answer, sender)
@@ -118,7 +118,7 @@
             grant.close(relay.relayed, sender.last_server)
 
     def _sender(self, grant: TurnGrant, allowance: Allowance) -> AttemptSender:
-        service = self._gateway.admission.service_for(self._route)
+        service = self._gateway.router.service_for(self._route)
         plan = SendPlan(
             self._attempt,
             self._route,
@@ -162,11 +162,11 @@
         # A lender counts each program that it welcomes, so the servers' room goes first.
         turns = sizes.expected_turns(self._route.name)
         new = NewProgram(self._attempt, service, turns, grant.is_continued)
-        self._components.rooms.begin_program(new)
+        self._components.admission.begin_program(new)
         try:
             allowance.begin_program(sizes.expected(self._route.name))
         except RefusedError:
-            self._components.rooms.did_not_begin(new)
+            self._components.admission.did_not_begin(new)
             raise
 
     def _pass_on_failure(self, answer: Answer, sender: AttemptSender) -> bytes:
--- a/yarrowwall/machine/gateway_followers.py
+++ b/yarrowwall/machine/gateway_followers.py
@@ -51,7 +51,7 @@
             time.monotonic,
         )
         servers = ServerList(
-            documents, directory, lambda: gateway.admission.services, log, time.monotonic
+            documents, directory, lambda: gateway.router.services, log, time.monotonic
         )
         self._followers = [
             KindFollower(
