--- a/features/steps/gateway_loss_steps.py
+++ b/features/steps/gateway_loss_steps.py
@@ -58,14 +58,14 @@
     address = _address(context, RecordReplica(node, disk))
     context.view = GroupView(0, 1, [Member("a", "a1", address, ZONE)], [])
     context.views = GroupViews()
-    context.views.take(context.view)
+    context.views.update(context.view)
 
 
 @given('zones\' own groups "{has_zones}" that are out of reach')
 def zone_groups(context: Context, has_zones: str) -> None:
     if has_zones == "yes":
         silent = [Member(node, f"{node}1", "127.0.0.1:1", ZONE) for node in "de"]
-        context.views.take(GroupView(2 * ZONE_GROUPS_FROM, 1, silent, []))
+        context.views.update(GroupView(2 * ZONE_GROUPS_FROM, 1, silent, []))
 
 
 @given('the newest view of the store is of "{newest}"')
@@ -77,7 +77,7 @@
     links = LinkTable(log, time.monotonic)
     client = QuorumClient(ZONE, context.views, links, time.monotonic)
     losses = LossChecks(context.views, links, store, log, time.monotonic)
-    client.has_lost, client.on_all_gone = losses.has_lost, losses.check
+    client.has_lost, client.on_all_replaced = losses.has_lost, losses.check
     context.ledger = ReplicatedLedger(ZONE, context.views, client, log, time.monotonic)
 
 
--- a/features/steps/group_move_steps.py
+++ b/features/steps/group_move_steps.py
@@ -15,15 +15,15 @@
 
 def take(replica: RecordReplica, view: GroupView) -> None:
     """Let a replica take a view and write it to its disk."""
-    for record in replica.take_view(view):
-        replica.now_durable(record)
+    for record in replica.install_view(view):
+        replica.mark_durable(record)
 
 
 def copy(replica: RecordReplica, view: GroupView) -> None:
     """Let a replica finish its copy in a view."""
-    mark = replica.synchronised(view)
+    mark = replica.synchronisation_mark(view)
     assert mark is not None
-    replica.now_durable(mark)
+    replica.mark_durable(mark)
 
 
 def joint_view(group: int, epoch: int) -> GroupView:
@@ -49,32 +49,32 @@
     context.replica = RecordReplica("d", OWN)
     context.log = []
     for view in views_of_first_group():
-        keep(context, context.replica.take_view(view))
+        keep(context, context.replica.install_view(view))
         if context.replica.needs_synchronisation:
-            keep(context, [context.replica.synchronised(view)])
-    assert context.replica.epoch == 5 and not context.replica.is_reader
+            keep(context, [context.replica.synchronisation_mark(view)])
+    assert context.replica.epoch == 5 and not context.replica.counts_for_reads
 
 
 def keep(context: Context, records: list) -> None:
     """Write log records to the replica's disk."""
     for record in records:
         context.log.append(record)
-        context.replica.now_durable(record)
+        context.replica.mark_durable(record)
 
 
 @when("group 3 takes it in at epoch {epoch:d}")
 def taken_in(context: Context, epoch: int) -> None:
     context.view = joint_view(NEW_GROUP, epoch)
-    keep(context, context.replica.take_view(context.view))
+    keep(context, context.replica.install_view(context.view))
     assert context.replica.view == context.view, context.replica.view
 
 
 @when("group 3 takes it in while the mark of a copy in group 1 is under way")
 def taken_in_beside_copy(context: Context) -> None:
     context.view = joint_view(NEW_GROUP, 5)
-    coming = context.replica.take_view(context.view)
+    coming = context.replica.install_view(context.view)
     assert coming
-    late = context.replica.synchronised(views_of_first_group()[-1])
+    late = context.replica.synchronisation_mark(views_of_first_group()[-1])
     keep(context, [*coming, *([late] if late is not None else [])])
 
 
@@ -90,7 +90,7 @@
 @then("it has to copy before the change of group 3 ends")
 def has_to_copy(context: Context) -> None:
     assert context.replica.needs_synchronisation
-    assert not context.replica.is_reader
+    assert not context.replica.counts_for_reads
     assert not change_ends(context)
 
 
@@ -113,11 +113,11 @@
 
 @then("it is a reader of group 3")
 def reader_of_new_group(context: Context) -> None:
-    assert context.replica.view.group == NEW_GROUP and context.replica.is_reader
+    assert context.replica.view.group == NEW_GROUP and context.replica.counts_for_reads
 
 
 @then("views of group 1 at epochs 2 to 4 change nothing")
 def earlier_views_passed_over(context: Context) -> None:
     for view in views_of_first_group()[:3]:
-        assert context.replica.take_view(view) == [], view
+        assert context.replica.install_view(view) == [], view
     assert context.replica.view == context.view
--- a/features/steps/held_up_steps.py
+++ b/features/steps/held_up_steps.py
@@ -92,7 +92,7 @@
 @then("the reply of a quorum is there")
 def quorum_there(context: Context) -> None:
     views = GroupViews()
-    views.take(GroupView(0, 1, [Member("storage-0", "disk-0", context.address, "zone-a")], []))
+    views.update(GroupView(0, 1, [Member("storage-0", "disk-0", context.address, "zone-a")], []))
     links = LinkTable(DecisionLog("edge-0"), time.monotonic)
     client = QuorumClient("zone-a", views, links, time.monotonic)
     client.check(0, _FIRST_S)
--- a/features/steps/mixed_release_steps.py
+++ b/features/steps/mixed_release_steps.py
@@ -21,7 +21,7 @@
 from yarrowwall.messages.relaying import Forward, Forwarded, ForwardStatus, Neighbour
 from yarrowwall.messages.replicated import AskStatus, StatusReply
 from yarrowwall.replication.exceptions import LinkDownError
-from yarrowwall.replication.forwarding import Forwarder
+from yarrowwall.replication.forwarding import ForwardHandler
 from yarrowwall.replication.relayed_links import RelayedLinkTable
 from yarrowwall.replication.rpc import Link, serve_requests
 
@@ -237,7 +237,7 @@
 
 @given("a neighbour that logs what it cannot read")
 def logging_neighbour(context: Context) -> None:
-    context.forwarder = Forwarder(_relayed_links(context), lambda address: True)
+    context.forwarder = ForwardHandler(_relayed_links(context), lambda address: True)
 
 
 @when('gateway "{name}" asks it to pass on {what}')
--- a/features/steps/placement_steps.py
+++ b/features/steps/placement_steps.py
@@ -232,7 +232,7 @@
             completion(LoadReply(list(others), list(others.values()), 0.1, 2))
         return 1
 
-    def tell(self, message: TellLoad) -> None:
+    def send_one_way(self, message: TellLoad) -> None:
         """Take what is told."""
         if not self.is_silent:
             self._take(message)
@@ -260,7 +260,7 @@
 def reporting_gateways(context: Context, one: str, two: str, engine: str) -> None:
     context.links = _BoardLinks()
     views = GroupViews()
-    views.take(GroupView(0, 1, [Member("r1", "disk-1", "127.0.0.1:2", "zone-a")], []))
+    views.update(GroupView(0, 1, [Member("r1", "disk-1", "127.0.0.1:2", "zone-a")], []))
     context.directories = {name: directory([engine], 6) for name in (one, two)}
     context.reporters = {
         name: LoadReporter(name, known, views, context.links, lambda: NOW, ProgramsUnderWay())
--- a/features/steps/quorum_steps.py
+++ b/features/steps/quorum_steps.py
@@ -94,7 +94,7 @@
 def begin(context: Context, view: GroupView) -> None:
     context.links = ScriptedLinks()
     views = GroupViews()
-    views.take(view)
+    views.update(view)
     for member in [*view.members, *view.joining]:
         context.links.get(member.address)
     context.view = view
--- a/features/steps/quota_proof_steps.py
+++ b/features/steps/quota_proof_steps.py
@@ -9,7 +9,7 @@
 from yarrowwall.messages.quotas import QuotaReply, QuotaStatus, ReturnQuota, TakeQuota, TenantLimit
 from yarrowwall.messages.replicated import GroupView, Member
 from yarrowwall.policy.program_sizes import ProgramSizes
-from yarrowwall.quotas.entitlement import Entitlement, Voucher
+from yarrowwall.quotas.entitlement import Entitlement, ViewConfirmation
 from yarrowwall.quotas.lender import Lender
 from yarrowwall.quotas.order import LenderOrder
 from yarrowwall.quotas.terms import QuotaTerms
@@ -51,7 +51,7 @@
 
 @when("{count:d} others vouch for epoch {epoch:d} by answers to questions sent {age:f} s ago")
 def others_vouch(context: Context, count: int, epoch: int, age: float) -> None:
-    voucher = Voucher(epoch, NOW_S - age)
+    voucher = ViewConfirmation(epoch, NOW_S - age)
     context.vouchers = {disk: voucher for disk in context.disks[1 : count + 1]}
 
 
--- a/features/steps/reach_steps.py
+++ b/features/steps/reach_steps.py
@@ -15,8 +15,8 @@
 from yarrowwall.messages.codec import encode
 from yarrowwall.messages.relaying import Forward, Forwarded, ForwardStatus, Neighbour
 from yarrowwall.messages.replicated import AskStatus, ReadChain, StatusReply
-from yarrowwall.replication.forwarding import Forwarder
-from yarrowwall.replication.neighbours import NeighbourBoard
+from yarrowwall.replication.forwarding import ForwardHandler
+from yarrowwall.replication.neighbours import NeighbourRegistry
 from yarrowwall.replication.paths import LATE_SECONDS, Paths
 from yarrowwall.replication.relayed_links import RelayedLinkTable
 from yarrowwall.replication.rpc import serve_requests
@@ -140,7 +140,9 @@
 def one_neighbour(context: Context, delay_ms: int) -> None:
     context.replica = _Replica(delay_ms / 1000.0)
     context.links = RelayedLinkTable("edge-1", DecisionLog("edge-1"), time.monotonic)
-    context.forwarder = Forwarder(context.links, lambda address: address == context.replica.address)
+    context.forwarder = ForwardHandler(
+        context.links, lambda address: address == context.replica.address
+    )
 
 
 @when("{gateways:d} gateways ask it for {count:d} requests of 1 KB each at once")
@@ -176,7 +178,7 @@
 
 @then("nothing is counted as under way at the end")
 def nothing_left(context: Context) -> None:
-    assert context.forwarder.under_way == (0, 0), context.forwarder.under_way
+    assert context.forwarder.in_flight == (0, 0), context.forwarder.in_flight
 
 
 @when("a gateway asks it to pass on {what}")
@@ -226,7 +228,7 @@
 
 @then("it takes the detour: {detour}")
 def takes_detour(context: Context, detour: str) -> None:
-    assert context.paths.takes_detour(context.lost) == (detour == "yes")
+    assert context.paths.uses_neighbour(context.lost) == (detour == "yes")
 
 
 @when("{dead:d} of {count:d} replicas refuse connections for {seconds:f} s, and the others answer")
@@ -240,7 +242,7 @@
             context.paths.note_late(name, now_s, now_s)
         else:
             context.paths.note_answered(name, now_s)
-        context.cuts.append(context.paths.is_cut)
+        context.cuts.append(context.paths.is_cut_off)
 
 
 @then("it is never held to be cut off")
@@ -265,7 +267,7 @@
             _lose(context.paths, "replica-0", context.now_s)
         else:
             context.paths.note_answered("replica-0", context.now_s)
-        context.detours.append(context.paths.takes_detour("replica-0"))
+        context.detours.append(context.paths.uses_neighbour("replica-0"))
 
 
 @then("its requests take the detour all the time")
@@ -282,7 +284,7 @@
 
 @then("its requests go directly")
 def goes_directly(context: Context) -> None:
-    assert not context.paths.takes_detour("replica-0")
+    assert not context.paths.uses_neighbour("replica-0")
 
 
 # Who is a neighbour of whom
@@ -290,7 +292,7 @@
 
 @given("{count:d} gateways in {zones:d} zones that ask for neighbours")
 def ask_board(context: Context, count: int, zones: int) -> None:
-    context.board = NeighbourBoard()
+    context.board = NeighbourRegistry()
     context.gateways = [
         Neighbour(f"edge-{number:03d}", f"zone-{number % zones}", f"10.0.0.{number}:1")
         for number in range(count)
@@ -330,7 +332,7 @@
 
 @then("it is not held to be served by a neighbour")
 def not_served(context: Context) -> None:
-    assert context.paths.is_cut and not context.paths.is_served(context.now_s)
+    assert context.paths.is_cut_off and not context.paths.has_working_neighbour(context.now_s)
 
 
 @when("a neighbour brings a reply")
@@ -340,8 +342,8 @@
 
 @then("it is held to be served by a neighbour for {seconds:f} s")
 def served(context: Context, seconds: float) -> None:
-    assert context.paths.is_served(context.now_s + seconds - 0.01)
-    assert not context.paths.is_served(context.now_s + seconds + 0.01)
+    assert context.paths.has_working_neighbour(context.now_s + seconds - 0.01)
+    assert not context.paths.has_working_neighbour(context.now_s + seconds + 0.01)
 
 
 @given("a gateway that has asked {count:d} replicas, of which one does not answer")
@@ -356,7 +358,7 @@
     # The others are not asked for a while, as at a gateway with little traffic.
     context.paths.note_asked(context.replicas[0], 12.0)
     _lose(context.paths, context.replicas[0], 12.0)
-    assert context.paths.is_cut
+    assert context.paths.is_cut_off
 
 
 @when("that one is removed from its group and all else is quiet")
@@ -367,7 +369,7 @@
 
 @then("the gateway is not cut off, also once its last question is late")
 def not_cut_off(context: Context) -> None:
-    assert not context.paths.is_cut
+    assert not context.paths.is_cut_off
     _lose(context.paths, context.replicas[0], 13.0)
-    assert not context.paths.is_cut
-    assert not list(context.paths.out_of_reach())
+    assert not context.paths.is_cut_off
+    assert not list(context.paths.unreachable())
--- a/features/steps/record_steps.py
+++ b/features/steps/record_steps.py
@@ -25,7 +25,7 @@
 from yarrowwall.replication.planner import next_view
 from yarrowwall.replication.replica import RecordReplica
 from yarrowwall.replication.rpc import Link, serve_requests
-from yarrowwall.replication.views import disk_ids, is_read, is_written
+from yarrowwall.replication.views import disk_ids, has_read_quorum, has_write_quorum
 from yarrowwall.storage.segments import SegmentStore
 
 
@@ -80,8 +80,8 @@
 
 
 def _take(replica: RecordReplica, view: GroupView) -> None:
-    for record in replica.take_view(view):
-        replica.now_durable(record)
+    for record in replica.install_view(view):
+        replica.mark_durable(record)
 
 
 @given('a group of "a1", "b1" and "c1" whose third replica is replaced by "d1"')
@@ -94,9 +94,9 @@
     for disk in ("a1", "b1", "d1"):
         replica = context.replicas[disk]
         _take(replica, joint)
-        mark = replica.synchronised(joint)
+        mark = replica.synchronisation_mark(joint)
         assert mark is not None
-        replica.now_durable(mark)
+        replica.mark_durable(mark)
         _take(replica, context.new_view)
 
 
@@ -114,7 +114,7 @@
 
 @then("it is not complete")
 def not_complete(context: Context) -> None:
-    assert not is_written(context.old_view, context.acknowledged)
+    assert not has_write_quorum(context.old_view, context.acknowledged)
 
 
 @then("the newer view is told to its sender")
@@ -124,9 +124,9 @@
 
 @then("it is complete but a read quorum of the new group does not know it")
 def complete_but_unknown(context: Context) -> None:
-    assert is_written(context.old_view, context.acknowledged)
+    assert has_write_quorum(context.old_view, context.acknowledged)
     readers = {"a1", "d1"}
-    assert is_read(context.new_view, readers)
+    assert has_read_quorum(context.new_view, readers)
     assert all(context.replicas[disk].table.get("budget/late") is None for disk in readers)
 
 
@@ -142,7 +142,7 @@
     request = WriteRecords(0, 1, "a1", [record])
     first = context.replica.handle(request, 0.0)
     for log_record in first.persist:
-        context.replica.not_durable(log_record)
+        context.replica.mark_failed(log_record)
     context.second = context.replica.handle(request, 0.0)
 
 
--- a/features/steps/spent_budget_steps.py
+++ b/features/steps/spent_budget_steps.py
@@ -97,7 +97,7 @@
     views = GroupViews()
     for place, group in enumerate([COMMON, *ZONE_GROUPS]):
         zone = f"zone-{place}"
-        views.take(GroupView(group, 1, [Member(f"storage-{place}", zone, "", zone)], []))
+        views.update(GroupView(group, 1, [Member(f"storage-{place}", zone, "", zone)], []))
     return views
 
 
--- a/features/steps/turn_keep_steps.py
+++ b/features/steps/turn_keep_steps.py
@@ -44,7 +44,7 @@
     views = GroupViews()
     for group in (COMMON, OWN):
         found = [Member(f"s{n}", f"d{n}", f"a{n}", ZONE) for n in range(3)]
-        views.take(GroupView(group, 1, found, []))
+        views.update(GroupView(group, 1, found, []))
     context.client = _Silent()
     client: Any = context.client
     log: Any = _Log()
--- a/features/steps/zone_group_steps.py
+++ b/features/steps/zone_group_steps.py
@@ -28,10 +28,10 @@
 from yarrowwall.replication.rpc import LinkTable
 from yarrowwall.replication.views import (
     ZONE_GROUPS_FROM,
-    bears_losses,
-    is_read,
-    is_written,
+    has_read_quorum,
+    has_write_quorum,
     is_zone_group,
+    tolerates_losses,
     zone_of,
 )
 
@@ -59,15 +59,15 @@
 
 @then("a write is complete on {writers:d} and a read sure with {readers:d}")
 def quorums(context: Context, writers: int, readers: int) -> None:
-    assert is_written(context.view, context.disks[:writers])
-    assert not is_written(context.view, context.disks[: writers - 1])
-    assert is_read(context.view, context.disks[:readers])
-    assert not is_read(context.view, context.disks[: readers - 1])
+    assert has_write_quorum(context.view, context.disks[:writers])
+    assert not has_write_quorum(context.view, context.disks[: writers - 1])
+    assert has_read_quorum(context.view, context.disks[:readers])
+    assert not has_read_quorum(context.view, context.disks[: readers - 1])
 
 
 @then("it {bears} the loss of as many disks at once")
 def losses_borne(context: Context, bears: str) -> None:
-    assert bears_losses(context.view) is (bears == "bears")
+    assert tolerates_losses(context.view) is (bears == "bears")
 
 
 # Views
@@ -98,28 +98,28 @@
 def process_views(context: Context, count: int, a: int, b: int) -> None:
     context.views = GroupViews()
     for group in range(count):
-        context.views.take(GroupView(group, 1, [disk("c")], []))
+        context.views.update(GroupView(group, 1, [disk("c")], []))
     for group, zone in ((a, "a"), (b, "b")):
-        context.views.take(GroupView(group, 1, [disk("d", zone), disk("e", zone)], []))
+        context.views.update(GroupView(group, 1, [disk("d", zone), disk("e", zone)], []))
     context.groups = {"a": a, "b": b}
 
 
 @then('it counts {count:d} groups, puts keys there alone and knows the zone groups of "a" and "b"')
 def knows_groups(context: Context, count: int) -> None:
     views = context.views
-    assert views.count == count
+    assert views.common_group_count == count
     assert {views.group_of(f"key-{n}") for n in range(50)} == set(range(count))
     assert views.zone_groups() == context.groups
     assert views.zone_group("b") == context.groups["b"]
     assert views.zone_group("c") is None
-    assert not views.bears_losses(context.groups["a"])
+    assert not views.tolerates_losses(context.groups["a"])
 
 
 @then('once the group of "b" has ended it knows that of "a" alone, and still {parts:d} parts')
 def knows_end(context: Context, parts: int) -> None:
-    context.views.take(GroupView(context.groups["b"], 2, [], []))
+    context.views.update(GroupView(context.groups["b"], 2, [], []))
     assert context.views.zone_groups() == {"a": context.groups["a"]}
-    assert context.views.zone_parts == parts
+    assert context.views.zone_group_count == parts
 
 
 @given('a zone group of "a" and "b" that are both to be emptied')
@@ -143,7 +143,7 @@
 def ends(context: Context) -> None:
     alone = GroupView(GROUP, 3, [disk("a")], [])
     assert ended_view(alone, context.replica, {"a"}) is None, "it does not hold what is complete"
-    context.replica.is_reader = True
+    context.replica.counts_for_reads = True
     context.replica.table.put([_record()], 0.0)
     assert ended_view(alone, context.replica, {"a"}) is None
     context.replica.table.expire(1e6)
@@ -222,7 +222,7 @@
 def _client(context: Context) -> QuorumClient:
     views = GroupViews()
     for view in _views(context).values():
-        views.take(view)
+        views.update(view)
     return QuorumClient(
         "zone-b", views, LinkTable(DecisionLog("edge-0"), time.monotonic), time.monotonic
     )
@@ -322,7 +322,7 @@
 def write_on_new_disk(context: Context, zone: str) -> None:
     view = _views(context)[zone]
     others = [member.disk_id for member in view.members if member.disk_id != context.new_disk]
-    assert not is_written(view, others), "a write would be complete without it"
+    assert not has_write_quorum(view, others), "a write would be complete without it"
     record = _record("turn/after")
     _until_done(lambda: _client(context).write(view.group, [record]), "the record is written")
 
--- a/features/support/coordinated_group.py
+++ b/features/support/coordinated_group.py
@@ -8,7 +8,7 @@
 from yarrowwall.decisions import Decision, DecisionLog
 from yarrowwall.messages.replicated import GroupView, StatusReply
 from yarrowwall.ports.object_store import ConflictError, StoredObject
-from yarrowwall.replication.coordinator import Coordinator, OwnReplicas
+from yarrowwall.replication.coordinator import Coordinator, MachineReplicas
 from yarrowwall.replication.documents import GROUPS_NAME, groups_spec, read_groups
 from yarrowwall.replication.peers import ReplicaPeers
 from yarrowwall.replication.planner import target_size
@@ -53,7 +53,7 @@
 
     def register(self, disk_id: str) -> None:
         """Take in a machine that registers with a disk."""
-        self.take(disk_id[0], member(disk_id), None)
+        self.note_registration(disk_id[0], member(disk_id), None)
 
     def hear(self) -> None:
         """Take in an answer of each machine."""
@@ -83,15 +83,17 @@
         view = GroupView(0, 1, [member(disk_id) for disk_id in disks], [])
         self.store = GroupsStore([view])
         self.peers = HeardPeers(self.store, LinkTable(log, time.monotonic))
-        own = OwnReplicas(f"zone-{OWN}", RecordReplica(OWN, f"{OWN}1"), RecordReplica(OWN, "z1"))
+        own = MachineReplicas(
+            f"zone-{OWN}", RecordReplica(OWN, f"{OWN}1"), RecordReplica(OWN, "z1")
+        )
         for disk_id in [*disks, own.common.disk_id]:
             self.peers.register(disk_id)
-        own.common.now_durable(own.common.take_view(view)[0])
+        own.common.mark_durable(own.common.install_view(view)[0])
         self.coordinator = Coordinator(
             OWN, self.store, own, self.peers, log, time.monotonic, False, target_size(1)
         )
-        self.coordinator.take_groups(self.store.item)
-        self.coordinator.has_listed = True
+        self.coordinator.update_groups(self.store.item)
+        self.coordinator.has_registrations = True
 
     def members(self) -> str:
         """Return the group's disks; empty while it changes."""
--- a/features/support/detour_model.py
+++ b/features/support/detour_model.py
@@ -24,8 +24,8 @@
 from features.support.virtual_time import now_s, run_virtually
 from yarrowwall.messages.objects import ObjectsReply
 from yarrowwall.messages.relaying import Neighbour
-from yarrowwall.replication.forwarding import Forwarder
-from yarrowwall.replication.passage import NeighbourPassage
+from yarrowwall.replication.forwarding import ForwardHandler
+from yarrowwall.replication.neighbour_forwarder import NeighbourForwarder
 from yarrowwall.replication.relayed_links import RelayedLinkTable
 from yarrowwall.watching import replies
 from yarrowwall.watching.store import ReaderStore
@@ -65,7 +65,7 @@
         if not self._reader.is_up:
             return
         forwarder = world.forwarders[self._reader.node_id]
-        world.most_under_way = max(world.most_under_way, forwarder.under_way[0] + 1)
+        world.most_under_way = max(world.most_under_way, forwarder.in_flight[0] + 1)
 
         def reply(found: object) -> None:
             for delay_s in world.delays_s():
@@ -105,7 +105,7 @@
         super().__init__(gateways)
         self.rng = rng
         self.tables: dict[str, _Table] = {}
-        self.forwarders: dict[str, Forwarder] = {}
+        self.forwarders: dict[str, ForwardHandler] = {}
         self.stores: dict[str, ReaderStore] = {}
         self.asked: Counter[str] = Counter()
         self.most_under_way = 0
@@ -125,8 +125,8 @@
             return
         table = self.tables[host.node_id] = _Table(self, host)
         self.stores[host.node_id] = store
-        self.forwarders[host.node_id] = Forwarder(table, store.has_reader_at)
-        store.detour.use(NeighbourPassage(table, now_s))
+        self.forwarders[host.node_id] = ForwardHandler(table, store.has_reader_at)
+        store.detour.use(NeighbourForwarder(table, now_s))
         table.paths.replace_neighbours(self._neighbours_of(host))
 
     def _neighbours_of(self, host: Host) -> list[Neighbour]:
@@ -382,7 +382,7 @@
             host = world.gateways[0]
             table = world.tables[host.node_id]
             first = table.paths.neighbours[0].node_id
-            world.forwarders[first] = Forwarder(world.tables[first], lambda address: False)
+            world.forwarders[first] = ForwardHandler(world.tables[first], lambda address: False)
             world.cut_off(host)
             eventlet.sleep(seconds)
             useful = table.paths.useful_neighbour(now_s(), [])
@@ -401,7 +401,7 @@
     return None if reply.proved_after_s is None else now_s() + reply.proved_after_s
 
 
-def _brought_again(self: Forwarder, request: Any, reply: Callable[[object], None]) -> None:
+def _brought_again(self: ForwardHandler, request: Any, reply: Callable[[object], None]) -> None:
     """Answer with what the last question of the same asker brought."""
     kept: dict[Any, object] = self.__dict__.setdefault("kept", {})
     key = (request.node_id, request.request)
@@ -416,13 +416,13 @@
         _handle(self, request, keep)
 
 
-_handle = Forwarder.handle
+_handle = ForwardHandler.handle
 
 MUTANTS: dict[str, Callable[[], AbstractContextManager[Any]]] = {
     "the asker counts from the reply": lambda: patch.object(
         replies, "proved_at_s", _counted_from_reply
     ),
     "a neighbour brings an earlier answer again": lambda: patch.object(
-        Forwarder, "handle", _brought_again
+        ForwardHandler, "handle", _brought_again
     ),
 }
--- a/features/support/quota_model.py
+++ b/features/support/quota_model.py
@@ -23,7 +23,7 @@
 from yarrowwall.messages.replicated import GroupView, Member
 from yarrowwall.quorum import majority
 from yarrowwall.quotas import terms as quota_terms
-from yarrowwall.quotas.entitlement import Entitlement, Voucher
+from yarrowwall.quotas.entitlement import Entitlement, ViewConfirmation
 from yarrowwall.quotas.lender import Lender
 from yarrowwall.quotas.lending import QuotaLending
 from yarrowwall.quotas.terms import QuotaTerms
@@ -75,9 +75,9 @@
     """The vouchers of a machine."""
 
     def __init__(self) -> None:
-        self.known: dict[str, Voucher] = {}
+        self.known: dict[str, ViewConfirmation] = {}
 
-    def vouchers(self) -> dict[str, Voucher]:
+    def confirmations(self) -> dict[str, ViewConfirmation]:
         """Return what the others said."""
         return self.known
 
@@ -234,7 +234,7 @@
 
         def heard(epoch: int) -> None:
             if machine.incarnation == incarnation and self.now_s - sent_s < FORGET_S:
-                machine.peers.known[other.disk_id] = Voucher(epoch, asked_at_s)
+                machine.peers.known[other.disk_id] = ViewConfirmation(epoch, asked_at_s)
 
         self.deliver(other, answer)
 
--- a/features/support/quota_mutants.py
+++ b/features/support/quota_mutants.py
@@ -9,7 +9,7 @@
 from features.support.quota_model import World
 from yarrowwall.clocks import Clock
 from yarrowwall.messages.quotas import QuotaLent, TenantLimit
-from yarrowwall.quotas.entitlement import Entitlement, Voucher
+from yarrowwall.quotas.entitlement import Entitlement, ViewConfirmation
 from yarrowwall.quotas.lender import Lender, Outcome
 from yarrowwall.quotas.terms import CREDIT_SECONDS, QuotaTerms
 
@@ -31,7 +31,9 @@
         self._from_s = min(self._from_s, now_s)
 
 
-def _need_no_vouchers(self: Entitlement, vouchers: Mapping[str, Voucher], now_s: float) -> bool:
+def _need_no_vouchers(
+    self: Entitlement, vouchers: Mapping[str, ViewConfirmation], now_s: float
+) -> bool:
     return self._from_s is not None and now_s >= self._from_s
 
 
--- a/features/support/record_model.py
+++ b/features/support/record_model.py
@@ -31,8 +31,8 @@
 from yarrowwall.replication.rounds import Amount, merged
 from yarrowwall.replication.views import (
     all_members,
-    is_read,
-    is_written,
+    has_read_quorum,
+    has_write_quorum,
     member_of,
     read_quorum,
 )
@@ -76,7 +76,7 @@
         if self.waiting:
             record, done = self.waiting.pop(0)
             self.disk.append(record)
-            self.replica.now_durable(record)
+            self.replica.mark_durable(record)
             done()
 
     def lose_power(self) -> None:
@@ -162,7 +162,7 @@
 
     def _install(self, name: str, view: GroupView) -> None:
         machine = self.machines[name]
-        machine.persist(machine.replica.take_view(view), lambda: None)
+        machine.persist(machine.replica.install_view(view), lambda: None)
         while machine.waiting:
             machine.sync()
 
@@ -193,10 +193,10 @@
         for target in all_members(view):
             request = ReserveRecord(view.group, view.epoch, target.disk_id, record)
             self.send(target, request, met.taking(target))
-        while not is_written(view, met.acknowledged):
+        while not has_write_quorum(view, met.acknowledged):
             yield
         self.complete.add(record.key)
-        is_sure = not view.joining and is_read(view, met.readers)
+        is_sure = not view.joining and has_read_quorum(view, met.readers)
         others = met.others(record.key)
         if not (is_sure and self.is_alone(others)):
             later = Reading()
@@ -204,7 +204,7 @@
             for target in all_members(view):
                 request = ReadOwner(view.group, view.epoch, target.disk_id, PROGRAM)
                 self.send(target, request, later.taking(target))
-            while not is_read(view, later.readers):
+            while not has_read_quorum(view, later.readers):
                 yield
             others = merged(others, later.others(record.key))
         if not self.may_grant(others):
@@ -237,9 +237,9 @@
         replica, view = machine.replica, machine.replica.view
         if view is None or not replica.needs_synchronisation:
             return
-        readers = {replica.disk_id} if replica.is_reader else set()
+        readers = {replica.disk_id} if replica.counts_for_reads else set()
         for source in view.members:
-            if source.disk_id == replica.disk_id or is_read(view, readers):
+            if source.disk_id == replica.disk_id or has_read_quorum(view, readers):
                 continue
             replies: list[object] = []
             self.send(source, InstallView(view), replies.append)
@@ -263,11 +263,13 @@
             if machine.replica is not replica:
                 return
             written: list[bool] = []
-            machine.persist(replica.copied(fetched.records, 0.0), lambda w=written: w.append(True))
+            machine.persist(
+                replica.store_copied(fetched.records, 0.0), lambda w=written: w.append(True)
+            )
             while not written:
                 yield
             readers.add(source.disk_id)
-        mark = replica.synchronised(view) if is_read(view, readers) else None
+        mark = replica.synchronisation_mark(view) if has_read_quorum(view, readers) else None
         if mark is not None and machine.replica is replica:
             machine.persist([mark], lambda: None)
 
@@ -284,7 +286,7 @@
         if self.view.joining and (settled := planner.settled_view(self.view, statuses)) is not None:
             self.view = settled
             return
-        if not planner.has_readers(self.view, statuses):
+        if not planner.is_ready_to_change(self.view, statuses):
             return
         if self.view.joining:
             self.view = planner.revised_view(self.view, registered) or self.view
@@ -316,7 +318,7 @@
             known
             for known in self.view.members
             if self.machines[known.node_id].replica.disk_id == known.disk_id
-            and self.machines[known.node_id].replica.is_reader
+            and self.machines[known.node_id].replica.counts_for_reads
         ]
         return not self.view.joining and len(sound) == len(self.view.members)
 
@@ -362,7 +364,7 @@
     def tell_view(self, machine: Machine) -> None:
         """Let a machine hear of the newest view from the store."""
         if member_of(self.view, machine.replica.disk_id) or machine.replica.view:
-            machine.persist(machine.replica.take_view(self.view), lambda: None)
+            machine.persist(machine.replica.install_view(self.view), lambda: None)
 
     # The schedule
 
@@ -427,7 +429,7 @@
             known.disk_id
             for known in view.members
             if known.disk_id in replicas
-            and replicas[known.disk_id].is_reader
+            and replicas[known.disk_id].counts_for_reads
             and replicas[known.disk_id].epoch == view.epoch
         ]
         for quorum in combinations(readers, read_quorum(view.group, len(view.members))):
--- a/features/support/record_mutants.py
+++ b/features/support/record_mutants.py
@@ -30,7 +30,7 @@
 def _takes_view(self: RecordReplica, view: GroupView) -> None:
     if view.epoch > self.epoch:
         self.view = view
-        self.is_reader = True
+        self.counts_for_reads = True
 
 
 def _is_not_wanted(self: RecordSchedule, name: str) -> bool:
@@ -62,7 +62,7 @@
         RecordSchedule, "is_alone", staticmethod(_grant_always)
     ),
     "takes one acknowledgement for a quorum": lambda: patch.object(
-        record_model, "is_written", _any_acknowledgement
+        record_model, "has_write_quorum", _any_acknowledgement
     ),
     "takes requests of any epoch": lambda: patch.object(
         RecordReplica, "_refusal", lambda self, group, epoch, disk_id: None
--- a/features/support/zone_groups_mutants.py
+++ b/features/support/zone_groups_mutants.py
@@ -30,7 +30,7 @@
         planner, "revised_view", _revised_in_place
     ),
     "begins a change before the last one is known": lambda: patch.object(
-        planner, "has_readers", lambda view, statuses: True
+        planner, "is_ready_to_change", lambda view, statuses: True
     ),
     "ends a change of the group without a copy": RECORD_MUTANTS[
         "ends a change of the group without a copy"
--- a/features/support/zone_model.py
+++ b/features/support/zone_model.py
@@ -66,7 +66,7 @@
             return
         for record in records:
             self.log.append(record)
-            self.replica.now_durable(record)
+            self.replica.mark_durable(record)
         done()
 
 
@@ -130,7 +130,7 @@
         if disk.replica.disk_id in disk_ids(all_members(view)) or (
             known is not None and known.group == view.group
         ):
-            found = disk.replica.take_view(view)
+            found = disk.replica.install_view(view)
             if found:
                 disk.persist(found, lambda: None)
 
@@ -231,7 +231,7 @@
     def take_views(self) -> None:
         """Take in the views of the platform's store."""
         for view in self.world.views.values():
-            self.views.take(view)
+            self.views.update(view)
 
     def _keep_house(self) -> None:
         while not self.is_dead:
@@ -376,7 +376,7 @@
             of_zone = is_zone_group(view.group)
             for member in view.members:
                 replica = self.machines[member.node_id].disks[of_zone].replica
-                is_sound = replica.disk_id == member.disk_id and replica.is_reader
+                is_sound = replica.disk_id == member.disk_id and replica.counts_for_reads
                 if view.joining or not is_sound:
                     return
         self.machines[self.random.choice(sorted(self.machines))].lose_disk()
--- a/yarrowwall/budgets/ledger.py
+++ b/yarrowwall/budgets/ledger.py
@@ -88,7 +88,7 @@
         """
         if self._client.failing_seconds < UNREACHABLE_SECONDS:
             return True
-        groups = [*range(self._views.count), self._zones.own]
+        groups = [*range(self._views.common_group_count), self._zones.own]
         return any(self._reach.is_proved(group) for group in groups)
 
     @property
@@ -100,7 +100,7 @@
         """If operations fail, find out whether they still do."""
         if self._zones.parts:
             self._probe_groups()
-        elif self._client.failing_seconds and self._views.count:
+        elif self._client.failing_seconds and self._views.common_group_count:
             with contextlib.suppress(NoQuorumError):
                 self._ask(0)
 
@@ -108,7 +108,7 @@
         """Keep the proofs that service from the zone's part and readiness depend on."""
         is_failing = self._client.failing_seconds > 0.0
         most_s = FAILING_PROOF_SECONDS if is_failing else PROOF_SECONDS
-        groups = list(range(self._views.count))
+        groups = list(range(self._views.common_group_count))
         own = self._zones.own
         if is_failing and own is not None:
             groups.append(own)
@@ -118,7 +118,7 @@
 
     def _check_others(self, out: int) -> None:
         """Ask all other groups at once: what cut one off may have cut others off."""
-        for group in [*range(self._views.count), *self._zones.in_order]:
+        for group in [*range(self._views.common_group_count), *self._zones.in_order]:
             if group != out:
                 eventlet.spawn_n(self._reach.check, group)
 
--- a/yarrowwall/budgets/reservations.py
+++ b/yarrowwall/budgets/reservations.py
@@ -245,7 +245,7 @@
         record = self._record(group, wanted, ClaimState.RESERVED, missing)
         reading = self._client.reserve(group, record, timeout=self._wait_s(group, request))
         held = group_held(_others(reading, wanted), reading.note)
-        if not (reading.is_sure and held.is_settled):
+        if not (reading.is_complete and held.is_settled):
             held = self._look(request, group, held)
         self._reach.note_reached(group)
         request.take(group, held)
--- a/yarrowwall/budgets/zone_groups.py
+++ b/yarrowwall/budgets/zone_groups.py
@@ -19,7 +19,7 @@
     @property
     def parts(self) -> int:
         """Return among how many zones budgets are divided, the same at every gateway."""
-        return self._views.zone_parts
+        return self._views.zone_group_count
 
     @property
     def own(self) -> int | None:
@@ -50,7 +50,7 @@
     def keeps_turns(self) -> bool:
         """Return whether a turn may be kept in the own zone's group alone."""
         own = self.own
-        return own is not None and self._views.bears_losses(own)
+        return own is not None and self._views.tolerates_losses(own)
 
     @staticmethod
     def is_zone_group(group: int) -> bool:
--- a/yarrowwall/capacity/load_reports.py
+++ b/yarrowwall/capacity/load_reports.py
@@ -140,7 +140,7 @@
         running = self._directory.running()
         services = self._services()
         message = TellLoad(self._node_id, list(running), list(running.values()), services)
-        self._links.get(member.address).tell(message)
+        self._links.get(member.address).send_one_way(message)
 
     def _report(self, running: dict[str, int]) -> ReportLoad:
         services = self._services()
@@ -164,7 +164,7 @@
         """Tell that a program which was admitted did not begin."""
         member = self._board()
         if member is not None:
-            self._links.get(member.address).tell(told)
+            self._links.get(member.address).send_one_way(told)
 
     def _take(self, reply: LoadReply) -> None:
         self.reporters = reply.reporters
@@ -174,7 +174,7 @@
     def _board(self) -> Member | None:
         """Return the replica that takes the reports of all gateways."""
         now_s = self._now()
-        for member in self._views.board():
+        for member in self._views.report_replicas():
             if self._passed_over_until.get(member.disk_id, 0.0) <= now_s:
                 return member
         return None
--- a/yarrowwall/machine/gateway_followers.py
+++ b/yarrowwall/machine/gateway_followers.py
@@ -95,7 +95,7 @@
     def is_informed(self) -> bool:
         """Return whether configuration, servers and replicas were read."""
         has_listed = all(follower.has_listed for follower in self._followers)
-        return has_listed and self._gateway.table is not None and self._views.count > 0
+        return has_listed and self._gateway.table is not None and self._views.common_group_count > 0
 
     def _note_read(self, revision: int) -> None:
         if self.is_informed:
@@ -136,4 +136,4 @@
 
     def _take_groups(self, item: StoredObject) -> None:
         for view in read_groups(item) or ():
-            self._views.take(view)
+            self._views.update(view)
--- a/yarrowwall/machine/gateway_role.py
+++ b/yarrowwall/machine/gateway_role.py
@@ -30,11 +30,11 @@
 from yarrowwall.policy.servers import ServerDirectory
 from yarrowwall.ports.platform import Adapter
 from yarrowwall.quotas.borrowing import QuotaBorrower
-from yarrowwall.replication.forwarding import Forwarder
+from yarrowwall.replication.forwarding import ForwardHandler
 from yarrowwall.replication.group_views import GroupViews
 from yarrowwall.replication.loss_checks import LossChecks
 from yarrowwall.replication.neighbour_finder import NeighbourFinder
-from yarrowwall.replication.passage import NeighbourPassage
+from yarrowwall.replication.neighbour_forwarder import NeighbourForwarder
 from yarrowwall.replication.quorum_client import QuorumClient
 from yarrowwall.replication.relayed_links import RelayedLinkTable
 from yarrowwall.replication.rpc import serve_requests
@@ -75,11 +75,11 @@
         links = self._links = RelayedLinkTable(settings.node_id, log, time.monotonic)
         own_address = Neighbour(settings.node_id, settings.zone, settings.peer_address)
         self._finder = NeighbourFinder(own_address, self._views, links)
-        self._forwarder = Forwarder(links, self._is_passed_on_to)
-        store.detour.use(NeighbourPassage(links, time.monotonic))
+        self._forwarder = ForwardHandler(links, self._is_passed_on_to)
+        store.detour.use(NeighbourForwarder(links, time.monotonic))
         client = QuorumClient(settings.zone, self._views, links, time.monotonic)
         losses = LossChecks(self._views, links, store, log, time.monotonic)
-        client.has_lost, client.on_all_gone = losses.has_lost, losses.check
+        client.has_lost, client.on_all_replaced = losses.has_lost, losses.check
         programs = ProgramsUnderWay()
         self._ledger = ReplicatedLedger(settings.zone, self._views, client, log, time.monotonic)
         self._loads = LoadReporter(
@@ -185,7 +185,7 @@
         them through those; one that hears nothing of the configuration refuses all that come
         with a key.
         """
-        if self._links.paths.is_served(time.monotonic()):
+        if self._links.paths.has_working_neighbour(time.monotonic()):
             return False
         is_able = (
             self._followers.is_informed and self._ledger.is_reachable and self.gateway.serves_keys
--- a/yarrowwall/machine/replica_requests.py
+++ b/yarrowwall/machine/replica_requests.py
@@ -23,7 +23,7 @@
 )
 from yarrowwall.quotas.lending import QuotaLending
 from yarrowwall.replication.disk import RecordDisk
-from yarrowwall.replication.neighbours import NeighbourBoard
+from yarrowwall.replication.neighbours import NeighbourRegistry
 from yarrowwall.replication.replica import Request
 from yarrowwall.replication.synchroniser import Synchroniser
 from yarrowwall.replication.views import is_zone_group
@@ -55,7 +55,7 @@
         self._reader = reader
         self._loads = LoadBoard()
         self._rooms = RoomBoard()
-        self._neighbours = NeighbourBoard()
+        self._neighbours = NeighbourRegistry()
 
     def handle(self, request: object, reply: Reply) -> None:
         """Answer a request; the reply may follow later, or not at all."""
@@ -105,7 +105,7 @@
         )
 
     def _after_persist(self, asked: KeptReplica, reply: object) -> object:
-        asked.synchroniser.look()
+        asked.synchroniser.check_now()
         return self._status(asked) if isinstance(reply, StatusReply) else reply
 
     # Loads
--- a/yarrowwall/machine/replica_role.py
+++ b/yarrowwall/machine/replica_role.py
@@ -24,7 +24,7 @@
 from yarrowwall.ports.platform import Documents
 from yarrowwall.quotas.lending import QuotaLending
 from yarrowwall.quotas.replica_disk import QuotaSettings, ReplicaDisk
-from yarrowwall.replication.coordinator import Coordinator, OwnReplicas
+from yarrowwall.replication.coordinator import Coordinator, MachineReplicas
 from yarrowwall.replication.disk import RecordDisk
 from yarrowwall.replication.documents import (
     GROUPS_KIND,
@@ -87,7 +87,7 @@
         self._coordinator = Coordinator(
             settings.node_id,
             store,
-            OwnReplicas(settings.zone, self._disk.replica, zone_disk.replica),
+            MachineReplicas(settings.zone, self._disk.replica, zone_disk.replica),
             self._peers,
             log,
             time.monotonic,
@@ -172,19 +172,19 @@
     def _groups_listed(self, items: list[StoredObject]) -> None:
         for item in items:
             self._take_groups(item)
-        self._coordinator.has_listed = True
+        self._coordinator.has_registrations = True
 
     def _group_changed(self, change: Change) -> None:
         if not change.is_gone:
             self._take_groups(change.item)
 
     def _take_groups(self, item: StoredObject) -> None:
-        self._coordinator.take_groups(item)
+        self._coordinator.update_groups(item)
         for view in self._coordinator.views():
             replica = self._requests.replica_of(view.group)
             if _concerns(view, replica.disk.replica):
-                views = replica.disk.replica.take_view(view)
-                replica.disk.persist(views, replica.synchroniser.look)
+                views = replica.disk.replica.install_view(view)
+                replica.disk.persist(views, replica.synchroniser.check_now)
             if is_zone_group(view.group) and zone_of(view) == self._settings.zone:
                 self._peers.has_zone_group = True
 
@@ -202,7 +202,7 @@
     def _take_registration(self, item: StoredObject) -> None:
         common = read_registration(item)
         if common is not None:
-            self._peers.take(item.name, common, read_zone_registration(item))
+            self._peers.note_registration(item.name, common, read_zone_registration(item))
 
     def _retirements_listed(self, items: list[StoredObject]) -> None:
         self._registration.retirements = {item.name: item for item in items}
--- a/yarrowwall/quotas/credits.py
+++ b/yarrowwall/quotas/credits.py
@@ -61,7 +61,7 @@
 
     def give_back(self, credit: Credit) -> None:
         """Let the lender lend it to others."""
-        self._links.get(credit.lender.address).tell(credit.returned())
+        self._links.get(credit.lender.address).send_one_way(credit.returned())
 
     def wanted(self, tenant: str) -> int:
         """Return for how many requests to ask at once."""
--- a/yarrowwall/quotas/entitlement.py
+++ b/yarrowwall/quotas/entitlement.py
@@ -13,7 +13,7 @@
 from yarrowwall.messages.replicated import GroupView
 from yarrowwall.quorum import majority
 from yarrowwall.replication.replica import FIRST_EPOCH
-from yarrowwall.replication.views import Voucher, disk_ids
+from yarrowwall.replication.views import ViewConfirmation, disk_ids
 
 #: Seconds for which the answer of another replica vouches, counted from the sending of the
 #: question: four questions, so that one lost answer ends nothing.
@@ -118,7 +118,7 @@
         own = score(tenant, self._disk_id)
         return sum(score(tenant, disk) < own for disk in disks)
 
-    def holds(self, vouchers: Mapping[str, Voucher], now_s: float) -> bool:
+    def holds(self, vouchers: Mapping[str, ViewConfirmation], now_s: float) -> bool:
         """Return whether the replica may lend now.
 
         :param vouchers: what the other replicas said last, by disk.
@@ -133,7 +133,7 @@
         return vouching >= majority(len(members))
 
     @staticmethod
-    def _vouches(voucher: Voucher | None, epoch: int, now_s: float) -> bool:
+    def _vouches(voucher: ViewConfirmation | None, epoch: int, now_s: float) -> bool:
         if voucher is None or voucher.epoch > epoch:
             return False
         return voucher.asked_at_s >= now_s - LEASE_SECONDS
--- a/yarrowwall/quotas/lending.py
+++ b/yarrowwall/quotas/lending.py
@@ -65,7 +65,7 @@
             self._lender.give_back(request)
 
     def _is_entitled(self, now_s: float) -> bool:
-        is_entitled = self._entitlement.holds(self._peers.vouchers(), now_s)
+        is_entitled = self._entitlement.holds(self._peers.confirmations(), now_s)
         if is_entitled != self._was_entitled:
             self._was_entitled = is_entitled
             self._log.write(decisions.LendingChanged(self._disk.replica.epoch, is_entitled))
--- a/yarrowwall/quotas/questions.py
+++ b/yarrowwall/quotas/questions.py
@@ -65,7 +65,7 @@
 
     def _give_back(self) -> None:
         for credit in self.credits():
-            self._link.tell(credit.returned())
+            self._link.send_one_way(credit.returned())
 
 
 class Questions:
--- a/yarrowwall/quotas/replica_disk.py
+++ b/yarrowwall/quotas/replica_disk.py
@@ -34,7 +34,7 @@
         self._quotas = quotas
         super().__init__(node_id, folder, log)
 
-    def _restore_beside(
+    def _restore_other_records(
         self, disk_id: str, records: Iterator[DiskRecord], clock: Clock
     ) -> Iterator[LogRecord]:
         self.entitlement = Entitlement(disk_id, self._quotas.terms.lent_s)
@@ -60,7 +60,7 @@
             found.append(LendingBegun(self.replica.epoch))
         return found + list(self.lender.snapshot(read_clock()))
 
-    def _now_durable(self, record: DiskRecord) -> None:
-        super()._now_durable(record)
+    def _mark_durable(self, record: DiskRecord) -> None:
+        super()._mark_durable(record)
         if isinstance(record, ViewKept):
             self.entitlement.take_view(record.view, time.monotonic())
--- a/yarrowwall/replication/coordinator.py
+++ b/yarrowwall/replication/coordinator.py
@@ -29,11 +29,11 @@
 from yarrowwall.replication.losses import has_lost_all
 from yarrowwall.replication.peers import ReplicaPeers
 from yarrowwall.replication.planner import (
+    blocked_retirement,
     ended_view,
     first_views,
     first_zone_views,
-    has_readers,
-    held_retirement,
+    is_ready_to_change,
     next_view,
     revised_view,
     settled_view,
@@ -56,7 +56,7 @@
 TURN_SECONDS = 1.0
 
 
-class OwnReplicas(NamedTuple):
+class MachineReplicas(NamedTuple):
     """The replicas of a machine.
 
     :param zone_name: the machine's zone.
@@ -105,7 +105,7 @@
         self,
         node_id: str,
         store: ObjectStore,
-        own: OwnReplicas,
+        own: MachineReplicas,
         peers: ReplicaPeers,
         log: DecisionLog,
         now: Callable[[], float],
@@ -128,14 +128,14 @@
         self._groups: StoredObject | None = None
         self._groups_known_at = now()
         self._views: list[GroupView] = []
-        self.has_listed = False
+        self.has_registrations = False
         self.retiring: set[str] = set()
 
     def start(self) -> None:
         """Begin to look after the groups."""
         eventlet.spawn_n(self._run)
 
-    def take_groups(self, item: StoredObject) -> None:
+    def update_groups(self, item: StoredObject) -> None:
         """Take in the newest views of all groups."""
         views = read_groups(item)
         is_newer = self._groups is None or self._groups.revision < item.revision
@@ -158,7 +158,7 @@
                 eventlet.sleep(LOOK_SECONDS)
 
     def _look(self) -> None:
-        if not self.has_listed:
+        if not self.has_registrations:
             return
         proposed = self._first_views() if self._groups is None else self._next_views()
         if proposed is None:
@@ -187,7 +187,7 @@
         known = self._groups
         item = self._store.get(GROUPS_KIND, GROUPS_NAME, NEWEST_SECONDS)
         if item is not None:
-            self.take_groups(item)
+            self.update_groups(item)
         return known is not None and item is not None and item.revision == known.revision
 
     def _first_views(self) -> _Proposal | None:
@@ -245,7 +245,7 @@
         :param registered: the disks for that kind of groups.
         """
         settled = settled_view(view, known.statuses) if view.joining else None
-        if settled is not None or not has_readers(view, known.statuses):
+        if settled is not None or not is_ready_to_change(view, known.statuses):
             return settled
         if view.joining:
             return revised_view(view, registered)
@@ -260,7 +260,7 @@
         if self._node_id not in self.retiring:
             self._notices.forget_held()
         elif changed is None:
-            self._notices.note_held(held_retirement(*group))
+            self._notices.note_held(blocked_retirement(*group))
         return changed
 
     def _is_own_turn(self, proposal: _Proposal) -> bool:
@@ -288,7 +288,7 @@
             return
         finally:
             self._needed_since = None
-        self.take_groups(item)
+        self.update_groups(item)
         for view in views:
             self._log.write(
                 decisions.GroupChanged(
--- a/yarrowwall/replication/disk.py
+++ b/yarrowwall/replication/disk.py
@@ -49,7 +49,9 @@
         self._store = SegmentStore(self._folder / _LOG_FOLDER, SEGMENT_BYTES)
         replica = RecordReplica(node_id, disk_id)
         clock = read_clock()
-        replica.restore(self._restore_beside(disk_id, self._own_records(), clock), clock.wall_s)
+        replica.restore(
+            self._restore_other_records(disk_id, self._own_records(), clock), clock.wall_s
+        )
         self.replica = replica
         if self._store.segment_count() > SEGMENTS_KEPT:
             self._store.compact(self._snapshot())
@@ -61,7 +63,7 @@
                 raise CorruptSegmentError(f"a {type(record).__name__} among the records")
             yield record
 
-    def _restore_beside(
+    def _restore_other_records(
         self, disk_id: str, records: Iterator[DiskRecord], clock: Clock
     ) -> Iterator[LogRecord]:
         """Take in what concerns no records; return what does."""
@@ -96,19 +98,19 @@
         self, record: DiskRecord, done: Callable[[], None], refused: Callable[[], None]
     ) -> None:
         def durable() -> None:
-            self._now_durable(record)
+            self._mark_durable(record)
             done()
 
         def failed() -> None:
             if isinstance(record, LogRecord):
-                self.replica.not_durable(record)
+                self.replica.mark_failed(record)
             refused()
 
         self._writer.write(record, durable, failed)
 
-    def _now_durable(self, record: DiskRecord) -> None:
+    def _mark_durable(self, record: DiskRecord) -> None:
         if isinstance(record, LogRecord):
-            self.replica.now_durable(record)
+            self.replica.mark_durable(record)
 
     def compact_if_long(self) -> None:
         """Write the log anew if it has grown long."""
--- a/yarrowwall/replication/forwarding.py
+++ b/yarrowwall/replication/forwarding.py
@@ -48,7 +48,7 @@
 Reply = Callable[[object], None]
 
 
-class Forwarder:
+class ForwardHandler:
     """Passes requests on.
 
     :param is_replica: returns whether an address is one of a replica or a reader.
@@ -65,7 +65,7 @@
         self.refused: Counter[str] = Counter()
 
     @property
-    def under_way(self) -> tuple[int, int]:
+    def in_flight(self) -> tuple[int, int]:
         """Return the requests and bytes that are being passed on."""
         return self._requests, self._bytes
 
@@ -90,7 +90,7 @@
     def _refusal(self, request: Forward, message: object | None) -> ForwardStatus | None:
         if message is None or not self._is_replica(request.address):
             return ForwardStatus.REFUSED
-        if self._links.paths.is_cut:
+        if self._links.paths.is_cut_off:
             return ForwardStatus.OUT_OF_REACH
         if self._links.paths.is_failing(request.address):
             return ForwardStatus.NO_ANSWER
@@ -120,7 +120,7 @@
     """One request under way."""
 
     def __init__(
-        self, forwarder: Forwarder, request: Forward, message: object, reply: Reply
+        self, forwarder: ForwardHandler, request: Forward, message: object, reply: Reply
     ) -> None:
         self._forwarder = forwarder
         self._size = len(request.request)
--- a/yarrowwall/replication/group_notices.py
+++ b/yarrowwall/replication/group_notices.py
@@ -3,7 +3,7 @@
 from yarrowwall import decisions
 from yarrowwall.decisions import DecisionLog
 from yarrowwall.messages.replicated import GroupView
-from yarrowwall.replication.planner import HeldRetirement
+from yarrowwall.replication.planner import BlockedRetirement
 
 
 class GroupNotices:
@@ -15,10 +15,10 @@
     def __init__(self, node_id: str, log: DecisionLog) -> None:
         self._node_id = node_id
         self._log = log
-        self._held: HeldRetirement | None = None
+        self._held: BlockedRetirement | None = None
         self._lost: set[int] = set()
 
-    def note_held(self, found: HeldRetirement | None) -> None:
+    def note_held(self, found: BlockedRetirement | None) -> None:
         """Log that the own machine's retirement waits, unless that was logged last."""
         if found is None or self._node_id not in found.nodes or found == self._held:
             return
--- a/yarrowwall/replication/group_views.py
+++ b/yarrowwall/replication/group_views.py
@@ -5,10 +5,10 @@
 import xxhash
 
 from yarrowwall.messages.replicated import GroupView, Member
-from yarrowwall.replication.views import all_members, bears_losses, is_zone_group, zone_of
+from yarrowwall.replication.views import all_members, is_zone_group, tolerates_losses, zone_of
 
 #: The group whose replicas keep what gateways tell of themselves: loads, rooms, neighbours.
-BOARD_GROUP = 0
+REPORT_GROUP = 0
 
 
 class GroupViews:
@@ -24,7 +24,7 @@
         self._zone_parts = 0
         self._changed = changed
 
-    def take(self, view: GroupView) -> None:
+    def update(self, view: GroupView) -> None:
         """Take in a view unless a newer one is known."""
         known = self._views.get(view.group)
         if known is None or known.epoch < view.epoch:
@@ -45,12 +45,12 @@
         """Return a group's newest view."""
         return self._views.get(group)
 
-    def board(self) -> list[Member]:
+    def report_replicas(self) -> list[Member]:
         """Return the replicas that keep what gateways tell of themselves, the first to ask first.
 
         All gateways ask in the same order, so that one replica knows all.
         """
-        view = self._views.get(BOARD_GROUP)
+        view = self._views.get(REPORT_GROUP)
         return sorted(view.members, key=lambda member: member.disk_id) if view else []
 
     def has_replica_at(self, address: str) -> bool:
@@ -65,7 +65,7 @@
         return int(xxhash.xxh3_64_intdigest(key.encode()) % self._common_count)
 
     @property
-    def count(self) -> int:
+    def common_group_count(self) -> int:
         """Return how many common groups there are."""
         return self._common_count
 
@@ -78,7 +78,7 @@
         return self._zone_groups
 
     @property
-    def zone_parts(self) -> int:
+    def zone_group_count(self) -> int:
         """Return how many zone groups there ever were, those that have ended among them.
 
         It is the same in every process and for the life of a deployment, so whatever is divided
@@ -86,7 +86,7 @@
         """
         return self._zone_parts
 
-    def bears_losses(self, group: int) -> bool:
+    def tolerates_losses(self, group: int) -> bool:
         """Return whether a group's writes outlive as many disks lost at once as are to be borne."""
         view = self._views.get(group)
-        return view is not None and bears_losses(view)
+        return view is not None and tolerates_losses(view)
--- a/yarrowwall/replication/loss_checks.py
+++ b/yarrowwall/replication/loss_checks.py
@@ -83,5 +83,5 @@
             return False
         views = (read_groups(item) if item is not None else None) or []
         for newest in views:
-            self._views.take(newest)
+            self._views.update(newest)
         return view in views
--- a/yarrowwall/replication/neighbour_finder.py
+++ b/yarrowwall/replication/neighbour_finder.py
@@ -40,7 +40,7 @@
 
     def _ask(self) -> bool:
         """Ask once; return whether there was an answer."""
-        members = self._views.board()
+        members = self._views.report_replicas()
         if not members:
             return False
         # The next one if it does not answer.
--- a/yarrowwall/replication/passage.py
+++ b/yarrowwall/replication/neighbour_forwarder.py
@@ -56,7 +56,7 @@
             self.news.send()
 
 
-class NeighbourPassage:
+class NeighbourForwarder:
     """Sends requests through neighbours that no direct way is tried for.
 
     The neighbours, and those that are passed over, are the ones of the links to replicas.
--- a/yarrowwall/replication/neighbours.py
+++ b/yarrowwall/replication/neighbours.py
@@ -18,7 +18,7 @@
 MOST_GATEWAYS = 4096
 
 
-class NeighbourBoard:
+class NeighbourRegistry:
     """The gateways that asked for neighbours lately."""
 
     def __init__(self) -> None:
--- a/yarrowwall/replication/operations.py
+++ b/yarrowwall/replication/operations.py
@@ -12,7 +12,7 @@
     StoredRecord,
 )
 from yarrowwall.replication.rounds import Round
-from yarrowwall.replication.views import disk_ids, is_read, is_written
+from yarrowwall.replication.views import disk_ids, has_read_quorum, has_write_quorum
 
 
 class Quorum(NamedTuple):
@@ -26,10 +26,10 @@
     is_found: Callable[[GroupView, Round], bool]
 
 
-WRITERS = Quorum(is_written, lambda view, found: is_written(view, found.acknowledged))
-READERS = Quorum(is_read, lambda view, found: is_read(view, found.readers))
+WRITERS = Quorum(has_write_quorum, lambda view, found: has_write_quorum(view, found.acknowledged))
+READERS = Quorum(has_read_quorum, lambda view, found: has_read_quorum(view, found.read_responders))
 READERS_AND_WRITERS = Quorum(
-    lambda view, disks: is_written(view, disks) and is_read(view, disks),
+    lambda view, disks: has_write_quorum(view, disks) and has_read_quorum(view, disks),
     lambda view, found: WRITERS.is_found(view, found) and READERS.is_found(view, found),
 )
 #: For operations that are complete by what was found, whoever has replied.
--- a/yarrowwall/replication/paths.py
+++ b/yarrowwall/replication/paths.py
@@ -53,11 +53,11 @@
     A replica that is down is no reason for a detour: only a gateway that has more replicas out
     of reach than have answered since the newest lost question was sent is held to be cut off.
 
-    :ivar is_cut: whether this gateway, rather than a replica, seems to be cut off.
+    :ivar is_cut_off: whether this gateway, rather than a replica, seems to be cut off.
     """
 
     def __init__(self) -> None:
-        self.is_cut = False
+        self.is_cut_off = False
         self._late_sent_s = float("-inf")
         self._served_s = float("-inf")
         self._replicas: dict[str, _Replica] = {}
@@ -101,7 +101,7 @@
         """Note that a replica answered directly."""
         replica = self._replica(address)
         replica.answered_s = now_s
-        if not replica.failing and not self.is_cut:
+        if not replica.failing and not self.is_cut_off:
             # One more that is heard: a gateway that was not cut off is not now.
             return
         if replica.failing and replica.back_s is None:
@@ -140,15 +140,15 @@
         self._judge()
 
     def _judge(self) -> None:
-        since_s = self._late_sent_s - (STAY_SECONDS if self.is_cut else 0.0)
+        since_s = self._late_sent_s - (STAY_SECONDS if self.is_cut_off else 0.0)
         states = self._replicas.values()
         failing = sum(replica.failing for replica in states)
         heard = sum(not replica.failing and replica.answered_s >= since_s for replica in states)
-        self.is_cut = failing > heard
+        self.is_cut_off = failing > heard
 
-    def takes_detour(self, address: str) -> bool:
+    def uses_neighbour(self, address: str) -> bool:
         """Return whether requests to a replica go through a neighbour."""
-        return self.is_cut and self.is_failing(address)
+        return self.is_cut_off and self.is_failing(address)
 
     def is_probe_due(self, address: str, now_s: float) -> bool:
         """Return whether to try directly beside the detour; it is tried then."""
@@ -158,7 +158,7 @@
             replica.probed_s = now_s
         return is_due
 
-    def out_of_reach(self) -> Sequence[str]:
+    def unreachable(self) -> Sequence[str]:
         """Return the replicas that count as out of reach."""
         return [address for address, replica in self._replicas.items() if replica.failing]
 
@@ -218,9 +218,9 @@
         pause_s = doubled_s(SILENT_SECONDS, MOST_SILENT_SECONDS, failures)
         self._passed_over_until[node_id] = now_s + pause_s
 
-    def is_served(self, now_s: float) -> bool:
+    def has_working_neighbour(self, now_s: float) -> bool:
         """Return whether a neighbour reaches the replicas that this gateway does not.
 
         If all replicas are slow, every gateway may hold itself to be cut off; then none is.
         """
-        return self.is_cut and now_s - self._served_s <= SERVED_SECONDS
+        return self.is_cut_off and now_s - self._served_s <= SERVED_SECONDS
--- a/yarrowwall/replication/peers.py
+++ b/yarrowwall/replication/peers.py
@@ -13,7 +13,7 @@
     StatusReply,
 )
 from yarrowwall.replication.rpc import LinkTable
-from yarrowwall.replication.views import Voucher
+from yarrowwall.replication.views import ViewConfirmation
 
 #: Seconds between questions, and how long an answer may take.
 HEARTBEAT_SECONDS = 0.4
@@ -47,7 +47,7 @@
         self.has_zone_group = False
         self._statuses: dict[str, StatusReply] = {}
         self._heard_at: dict[str, float] = {}
-        self._vouchers: dict[str, Voucher] = {}
+        self._confirmations: dict[str, ViewConfirmation] = {}
 
     def start(self) -> None:
         """Begin to ask."""
@@ -79,9 +79,9 @@
         if isinstance(reply, StatusReply) and reply.node_id == member.node_id:
             self._statuses[reply.disk_id] = reply
             self._heard_at[member.node_id] = self._now()
-            self._vouchers[reply.disk_id] = Voucher(reply.epoch, asked_at)
+            self._confirmations[reply.disk_id] = ViewConfirmation(reply.epoch, asked_at)
 
-    def take(self, node_id: str, common: Member, zone: Member | None) -> None:
+    def note_registration(self, node_id: str, common: Member, zone: Member | None) -> None:
         """Take in a machine's newest registration."""
         self.registered[node_id] = common
         if zone is not None:
@@ -103,13 +103,13 @@
         heard = {node for node, heard_at in self._heard_at.items() if heard_at >= since}
         return heard | {self._node_id}
 
-    def vouchers(self) -> Mapping[str, Voucher]:
+    def confirmations(self) -> Mapping[str, ViewConfirmation]:
         """Return what each disk's replica said last, and when it was asked."""
-        return self._vouchers
+        return self._confirmations
 
     def disks_since(self, since_s: float) -> dict[str, str]:
         """Return the registered disks that answered a question sent since then, by node id."""
-        asked = {disk: voucher.asked_at_s for disk, voucher in self._vouchers.items()}
+        asked = {disk: voucher.asked_at_s for disk, voucher in self._confirmations.items()}
         return {
             node: member.disk_id
             for node, member in self.registered.items()
--- a/yarrowwall/replication/planner.py
+++ b/yarrowwall/replication/planner.py
@@ -21,7 +21,7 @@
 LEAST_ZONES = 2
 
 
-class HeldRetirement(NamedTuple):
+class BlockedRetirement(NamedTuple):
     """A retirement that waits, since its common group would be left with too few copies.
 
     :param nodes: the group's machines that are to be emptied.
@@ -124,14 +124,14 @@
     return GroupView(view.group, view.epoch + 1, view.members, joining)
 
 
-def held_retirement(
+def blocked_retirement(
     view: GroupView,
     registered: dict[str, Member],
     alive: Collection[str],
     retiring: Collection[str],
     busy: Collection[str],
     size: int,
-) -> HeldRetirement | None:
+) -> BlockedRetirement | None:
     """Return why members of a settled group that are to be emptied stay; None if that's not it.
 
     The parameters are those of :func:`next_view`.
@@ -145,7 +145,7 @@
     left, needed = len(holding) - len(leaving), _fewest_copies(view.group, size)
     if not leaving or left >= needed:
         return None
-    return HeldRetirement(view.group, leaving, left, needed)
+    return BlockedRetirement(view.group, leaving, left, needed)
 
 
 def _holding(
@@ -190,7 +190,7 @@
     return GroupView(view.group, view.epoch + 1, view.joining, [])
 
 
-def has_readers(view: GroupView, statuses: Mapping[str, StatusReply]) -> bool:
+def is_ready_to_change(view: GroupView, statuses: Mapping[str, StatusReply]) -> bool:
     """Return whether enough members hold what is complete, and know the view, for the next one.
 
     A member that misses a view in which a change begins or ends counts no more until it has
@@ -230,6 +230,6 @@
         return None
     if len(view.members) > 1:
         return GroupView(view.group, view.epoch + 1, view.members, [own])
-    if not replica.is_reader or len(replica.table):
+    if not replica.counts_for_reads or len(replica.table):
         return None
     return GroupView(view.group, view.epoch + 1, [], [])
--- a/yarrowwall/replication/quorum_client.py
+++ b/yarrowwall/replication/quorum_client.py
@@ -35,7 +35,7 @@
 )
 from yarrowwall.replication.rounds import Amount, Posted, Round
 from yarrowwall.replication.rpc import DOWN_SECONDS, LinkTable
-from yarrowwall.replication.views import all_members, is_read
+from yarrowwall.replication.views import all_members, has_read_quorum
 
 #: Seconds that an operation waits for its quorum.
 OPERATION_SECONDS = 0.6
@@ -64,12 +64,12 @@
 
     :param amounts: by key of the record.
     :param note: a hint, which may be older than the newest record.
-    :param is_sure: whether every complete record is among the amounts.
+    :param is_complete: whether every complete record is among the amounts.
     """
 
     amounts: dict[str, Amount]
     note: str
-    is_sure: bool
+    is_complete: bool
 
 
 class QuorumClient:
@@ -91,7 +91,7 @@
         #: Tells whether a group has surely lost all copies of its records.
         self.has_lost: Callable[[int], bool] = lambda group: False
         #: Called with a view instead of whose disks others replied, all of them.
-        self.on_all_gone: Callable[[GroupView], None] = lambda view: None
+        self.on_all_replaced: Callable[[GroupView], None] = lambda view: None
 
     @property
     def failing_seconds(self) -> float:
@@ -130,7 +130,7 @@
             lambda view, member: ReadOwner(group, view.epoch, member.disk_id, owner),
         )
         found = self._operate(operation, timeout)
-        return OwnerReading(found.amounts, found.note, is_sure=True)
+        return OwnerReading(found.amounts, found.note, is_complete=True)
 
     def check(self, group: int, timeout: float) -> None:
         """Find out whether a group can be read and written now.
@@ -207,14 +207,16 @@
             members = self._order(view, operation.key)
             found = self._round(view, members, operation, end)
             if found.is_complete:
-                found.is_read_quorum = not view.joining and is_read(view, found.readers)
+                found.is_read_quorum = not view.joining and has_read_quorum(
+                    view, found.read_responders
+                )
                 self._failing_since = None
                 return found
             newer = self._views.get(operation.group) is not view or found.met_other_view
             if not newer or self._now() + RETRY_SECONDS >= end:
                 self._note_failed()
                 if len(found.gone) == len(members):
-                    self.on_all_gone(view)
+                    self.on_all_replaced(view)
                 answered = f"{found.answered} of {len(members)} answered"
                 raise NoQuorumError(f"group {operation.group}: {answered}")
             eventlet.sleep(RETRY_SECONDS)
@@ -349,7 +351,7 @@
         if reply.status is ReplyStatus.OK:
             found.acknowledged.add(member.disk_id)
             if reply.is_reader:
-                found.readers.add(member.disk_id)
+                found.read_responders.add(member.disk_id)
             if isinstance(reply, RecordsReply):
                 found.merge(reply.records)
             else:
@@ -361,4 +363,4 @@
         elif reply.status is ReplyStatus.STALE:
             found.met_other_view = found.is_superseded = True
             if reply.view is not None:
-                self._views.take(reply.view)
+                self._views.update(reply.view)
--- a/yarrowwall/replication/relayed_links.py
+++ b/yarrowwall/replication/relayed_links.py
@@ -98,7 +98,7 @@
         self._last = self._last % MOST_NUMBER + 1
         asked = self._asked[self._last] = _Asked(message, completion, now_s)
         self._paths.note_asked(self.address, now_s)
-        is_forwarded = self._paths.takes_detour(self.address) and self._forward(self._last, asked)
+        is_forwarded = self._paths.uses_neighbour(self.address) and self._forward(self._last, asked)
         if not is_forwarded or self._paths.is_probe_due(self.address, now_s):
             self._send_directly(self._last, asked)
         self._watch()
@@ -181,7 +181,7 @@
         """Take the next way of a request; without one it has no reply."""
         if asked.is_done or asked.forward is not None:
             return
-        is_detour = self._paths.takes_detour(self.address)
+        is_detour = self._paths.uses_neighbour(self.address)
         if is_detour and self._forward(number, asked):
             return
         if not asked.was_direct:
@@ -277,15 +277,15 @@
         self.paths = Paths()
         self._node_id = node_id
         self._neighbours = LinkTable(log, now)
-        self._was_cut = False
+        self._was_cut_off = False
         #: Requests that went through each neighbour, and those that one refused.
         self.relayed: Counter[str] = Counter()
         self.refused: Counter[str] = Counter()
 
     @property
-    def is_cut(self) -> bool:
+    def is_cut_off(self) -> bool:
         """Return whether this gateway seems to be cut off from the replicas."""
-        return self.paths.is_cut
+        return self.paths.is_cut_off
 
     def get(self, address: str) -> RelayedLink:
         """Return the link to a replica."""
@@ -334,8 +334,8 @@
         """Find out whether replicas that were out of reach answer again."""
         now_s = self._now()
         self.paths.forget_unasked(now_s)
-        with_detour = self.is_cut
-        for address in self.paths.out_of_reach():
+        with_detour = self.is_cut_off
+        for address in self.paths.unreachable():
             if self.paths.is_probe_due(address, now_s):
                 self.get(address).probe(with_detour)
                 with_detour = False
@@ -343,13 +343,15 @@
 
     def note_changes(self) -> None:
         """Write a line once this gateway is cut off, or no longer is."""
-        if self.is_cut == self._was_cut:
+        if self.is_cut_off == self._was_cut_off:
             return
-        self._was_cut = not self._was_cut
-        out = ",".join(self.paths.out_of_reach())
+        self._was_cut_off = not self._was_cut_off
+        out = ",".join(self.paths.unreachable())
         names = ",".join(neighbour.node_id for neighbour in self.paths.neighbours)
-        reason = f"no answer from {out}; neighbours {names or 'none'}" if self._was_cut else ""
-        self._log.write(decisions.DependencyChanged("replicas/direct", not self._was_cut, reason))
+        reason = f"no answer from {out}; neighbours {names or 'none'}" if self._was_cut_off else ""
+        self._log.write(
+            decisions.DependencyChanged("replicas/direct", not self._was_cut_off, reason)
+        )
 
 
 def is_unanswered(reply: object | None) -> bool:
--- a/yarrowwall/replication/replica.py
+++ b/yarrowwall/replication/replica.py
@@ -73,9 +73,9 @@
         self.table = RecordTable()
         self.view: GroupView | None = None
         self._coming: GroupView | None = None
-        self.is_reader = False
+        self.counts_for_reads = False
         self.synchronised_epoch = 0
-        self._not_durable: set[tuple[str, int]] = set()
+        self._pending_writes: set[tuple[str, int]] = set()
 
     @property
     def epoch(self) -> int:
@@ -104,22 +104,22 @@
         found: list[LogRecord] = []
         if self.view is not None:
             found.append(ViewKept(self.view))
-        found.append(SynchronisationKept(self.synchronised_epoch, self.is_reader))
+        found.append(SynchronisationKept(self.synchronised_epoch, self.counts_for_reads))
         records = self.table.all()
         for start in range(0, len(records), _RECORDS_PER_FRAME):
             found.append(RecordsKept(records[start : start + _RECORDS_PER_FRAME]))
         return found
 
-    def now_durable(self, record: LogRecord) -> None:
+    def mark_durable(self, record: LogRecord) -> None:
         """Note that a log record is on disk."""
         if isinstance(record, ViewKept):
             self._take_view(record.view)
         elif isinstance(record, SynchronisationKept):
             self._take_synchronisation(record)
         else:
-            self._not_durable -= {(kept.key, kept.version) for kept in record.records}
+            self._pending_writes -= {(kept.key, kept.version) for kept in record.records}
 
-    def not_durable(self, record: LogRecord) -> None:
+    def mark_failed(self, record: LogRecord) -> None:
         """Note that the disk refused a log record."""
         if isinstance(record, ViewKept):
             self._coming = None
@@ -138,26 +138,26 @@
             return
         if self.view is not None and view.group != self.view.group:
             # What was copied in one group counts for nothing in another.
-            self.is_reader, self.synchronised_epoch = False, 0
+            self.counts_for_reads, self.synchronised_epoch = False, 0
         is_first, follows = self.view is None, view.epoch == self.epoch + 1
         self.view = view
         is_member = self.disk_id in disk_ids(view.members)
         if view.epoch == FIRST_EPOCH and is_first:
-            self.is_reader = is_member
+            self.counts_for_reads = is_member
         elif view.joining:
             # A change begins: whoever counted before it still does, unless it missed
             # another change in between.
-            self.is_reader = self.is_reader and follows and is_member
+            self.counts_for_reads = self.counts_for_reads and follows and is_member
         else:
             # A change is over: only who copied during it holds all that was complete.
-            self.is_reader = is_member and self.synchronised_epoch == view.epoch - 1
+            self.counts_for_reads = is_member and self.synchronised_epoch == view.epoch - 1
 
     def _take_synchronisation(self, record: SynchronisationKept) -> None:
         self.synchronised_epoch = max(self.synchronised_epoch, record.epoch)
         # The mark of a settled group still holds once the next change has begun, not later.
         begun = self.view is not None and bool(self.view.joining)
         if record.epoch == self.epoch or (begun and record.epoch + 1 == self.epoch):
-            self.is_reader = record.is_reader
+            self.counts_for_reads = record.is_reader
 
     # Synchronisation
 
@@ -169,7 +169,7 @@
         if self.view.joining:
             joins = self.disk_id in disk_ids(self.view.joining)
             return joins and self.synchronised_epoch < self.view.epoch
-        return not self.is_reader
+        return not self.counts_for_reads
 
     def missing(self, keys: list[str], versions: list[int]) -> list[str]:
         """Return the keys of which a newer version is listed than the one held."""
@@ -180,7 +180,7 @@
                 found.append(key)
         return found
 
-    def copied(self, records: list[StoredRecord], now: float) -> list[LogRecord]:
+    def store_copied(self, records: list[StoredRecord], now: float) -> list[LogRecord]:
         """Take in copied records; return what must go to disk."""
         to_keep = self._take_records(records, now)
         return [RecordsKept(to_keep)] if to_keep else []
@@ -192,18 +192,20 @@
         refused it; it is written again with its copy.
         """
         news = self.table.put(records, now)
-        self._not_durable |= {(record.key, record.version) for record in news}
-        return [record for record in records if (record.key, record.version) in self._not_durable]
+        self._pending_writes |= {(record.key, record.version) for record in news}
+        return [
+            record for record in records if (record.key, record.version) in self._pending_writes
+        ]
 
-    def synchronised(self, view: GroupView) -> LogRecord | None:
+    def synchronisation_mark(self, view: GroupView) -> LogRecord | None:
         """Return the mark of a finished copy; None if the view has changed meanwhile."""
         if self.view is None or (self.view.group, self.view.epoch) != (view.group, view.epoch):
             return None
         if self._coming is not None and self._coming.group != view.group:
             # The mark would be on disk behind the view of another group, and count there.
             return None
-        is_reader = self.is_reader if self.view.joining else True
-        return SynchronisationKept(view.epoch, is_reader)
+        counts_for_reads = self.counts_for_reads if self.view.joining else True
+        return SynchronisationKept(view.epoch, counts_for_reads)
 
     # Requests
 
@@ -232,7 +234,7 @@
     def status(self) -> StatusReply:
         """Return the replica's state."""
         return StatusReply(
-            self.node_id, self.disk_id, self.epoch, self.is_reader, self.synchronised_epoch
+            self.node_id, self.disk_id, self.epoch, self.counts_for_reads, self.synchronised_epoch
         )
 
     def _install(self, view: GroupView) -> Outcome:
@@ -242,7 +244,7 @@
         self._coming = view
         return Outcome(self.status(), [ViewKept(view)])
 
-    def take_view(self, view: GroupView) -> list[LogRecord]:
+    def install_view(self, view: GroupView) -> list[LogRecord]:
         """Take a view heard of elsewhere; return what must go to disk."""
         return self._install(view).persist
 
@@ -278,12 +280,12 @@
         return self._listed(self.table.of_owner(owner), self.table.newest_note(owner))
 
     def _found(self, records: list[StoredRecord]) -> RecordsReply:
-        return RecordsReply(ReplyStatus.OK, self.is_reader, records, None)
+        return RecordsReply(ReplyStatus.OK, self.counts_for_reads, records, None)
 
     def _listed(self, records: list[StoredRecord], note: str = "") -> KeysReply:
         return KeysReply(
             ReplyStatus.OK,
-            self.is_reader,
+            self.counts_for_reads,
             [record.key for record in records],
             [record.version for record in records],
             [record.amount for record in records],
@@ -295,5 +297,5 @@
         """Raise AssertionError if the state contradicts itself."""
         if self._coming is not None and self.view is not None:
             assert self._newest_epoch >= self.epoch
-        if self.is_reader:
+        if self.counts_for_reads:
             assert self.view is not None, "a reader without a group"
--- a/yarrowwall/replication/rounds.py
+++ b/yarrowwall/replication/rounds.py
@@ -69,7 +69,7 @@
     """
 
     acknowledged: set[str] = field(default_factory=set)
-    readers: set[str] = field(default_factory=set)
+    read_responders: set[str] = field(default_factory=set)
     records: dict[str, StoredRecord] = field(default_factory=dict)
     amounts: dict[str, Amount] = field(default_factory=dict)
     note: str = ""
--- a/yarrowwall/replication/rpc.py
+++ b/yarrowwall/replication/rpc.py
@@ -221,7 +221,7 @@
             eventlet.spawn_n(self._open)
         return self._number
 
-    def tell(self, message: object) -> None:
+    def send_one_way(self, message: object) -> None:
         """Send what needs no reply, if there is a connection; it may be lost."""
         if self._channel is not None and self._channel.is_open:
             self._channel.send(NO_REPLY, message)
--- a/yarrowwall/replication/synchroniser.py
+++ b/yarrowwall/replication/synchroniser.py
@@ -19,7 +19,7 @@
 from yarrowwall.replication.disk import RecordDisk
 from yarrowwall.replication.exceptions import LinkDownError
 from yarrowwall.replication.rpc import LinkTable
-from yarrowwall.replication.views import is_read
+from yarrowwall.replication.views import has_read_quorum
 
 #: Seconds before a copy that could not be finished is tried again.
 RETRY_SECONDS = 0.2
@@ -55,7 +55,7 @@
         """Begin to watch over the copy."""
         eventlet.spawn_n(self._run)
 
-    def look(self) -> None:
+    def check_now(self) -> None:
         """Look at once whether a copy is needed."""
         if not self._wakeup.ready():
             self._wakeup.send()
@@ -73,10 +73,10 @@
 
     def _synchronise(self, view: GroupView) -> bool:
         """Copy from so many members that they share one with every complete write."""
-        readers = {self._replica.disk_id} if self._replica.is_reader else set()
+        readers = {self._replica.disk_id} if self._replica.counts_for_reads else set()
         copied = 0
         for member in view.members:
-            if is_read(view, readers):
+            if has_read_quorum(view, readers):
                 break
             if member.disk_id in readers or member.disk_id == self._replica.disk_id:
                 continue
@@ -84,7 +84,7 @@
             if count is not None:
                 readers.add(member.disk_id)
                 copied += count
-        return is_read(view, readers) and self._finish(view, copied)
+        return has_read_quorum(view, readers) and self._finish(view, copied)
 
     def _copy_from(self, view: GroupView, member: Member) -> int | None:
         """Copy what one member has; return how many records, None if it does not count."""
@@ -113,14 +113,14 @@
         """Write copied records to disk; return whether it took them."""
         written = eventlet.event.Event()
         self._disk.persist(
-            self._replica.copied(fetched.records, self._now()),
+            self._replica.store_copied(fetched.records, self._now()),
             lambda: written.send(True),
             lambda: written.send(False),
         )
         return bool(written.wait())
 
     def _finish(self, view: GroupView, copied: int) -> bool:
-        mark = self._replica.synchronised(view)
+        mark = self._replica.synchronisation_mark(view)
         if mark is None:
             return False
         written = eventlet.event.Event()
--- a/yarrowwall/replication/views.py
+++ b/yarrowwall/replication/views.py
@@ -14,7 +14,7 @@
 ZONE_GROUPS_FROM = 1000
 
 
-class Voucher(NamedTuple):
+class ViewConfirmation(NamedTuple):
     """What another replica said of its group.
 
     :param asked_at_s: when the question was sent.
@@ -70,7 +70,7 @@
     return size - write_quorum(group, size) + 1
 
 
-def bears_losses(view: GroupView) -> bool:
+def tolerates_losses(view: GroupView) -> bool:
     """Return whether a complete write outlives as many disks lost at once as are to be borne.
 
     Of ``n`` replicas a write is on ``w``, and ``n - w + 1`` make a read sure: ``w - 1`` may be
@@ -81,7 +81,7 @@
     return all(write_quorum(view.group, len(side)) >= wanted for side in sides)
 
 
-def is_written(view: GroupView, acknowledged: Collection[str]) -> bool:
+def has_write_quorum(view: GroupView, acknowledged: Collection[str]) -> bool:
     """Return whether the acknowledging disks make a write complete.
 
     While the group changes that takes a write quorum of the old and of the new members.
@@ -97,7 +97,7 @@
     return found >= write_quorum(group, len(side))
 
 
-def is_read(view: GroupView, readers: Collection[str]) -> bool:
+def has_read_quorum(view: GroupView, readers: Collection[str]) -> bool:
     """Return whether disks that answered as readers share one with every complete write."""
     members = disk_ids(view.members)
     return sum(disk in readers for disk in members) >= read_quorum(view.group, len(members))
