--- a/features/support/quota_mutants.py
+++ b/features/support/quota_mutants.py
@@ -9,7 +9,7 @@
 from features.support.quota_model import World
 from yarrowwall.clocks import Clock
 from yarrowwall.messages.quotas import QuotaLent, TenantLimit
-from yarrowwall.quotas.issuer_lease import IssuerLease, Voucher
+from yarrowwall.quotas.issuer_lease import IssuerLease, ViewConfirmation
 from yarrowwall.quotas.permit_issuer import Outcome, PermitIssuer
 from yarrowwall.quotas.quota_rules import PERMIT_SECONDS, QuotaRules
 
@@ -32,7 +32,7 @@
 
 
 def _need_no_vouchers(
-    self: IssuerLease, confirmations: Mapping[str, Voucher], now_s: float
+    self: IssuerLease, confirmations: Mapping[str, ViewConfirmation], now_s: float
 ) -> bool:
     return self._from_s is not None and now_s >= self._from_s
 
--- a/yarrowwall/quotas/permits.py
+++ b/yarrowwall/quotas/permits.py
@@ -61,7 +61,7 @@
 
     def give_back(self, credit: Permit) -> None:
         """Let the lender lend it to others."""
-        self._links.get(credit.issuer.address).tell(credit.returned())
+        self._links.get(credit.issuer.address).send_one_way(credit.returned())
 
     def wanted(self, tenant: str) -> int:
         """Return for how many requests to ask at once."""
