--- a/yarrowwall/dispatch/buffered.py
+++ b/yarrowwall/dispatch/buffered.py
@@ -32,7 +32,9 @@
             raise
         sender.finish_answer()
         now = components.now()
-        components.directory.note_service_time(opened.send.server.incarnation, now - opened.sent_at, now)
+        components.directory.note_service_time(
+            opened.send.server.incarnation, now - opened.sent_at, now
+        )
         if route.is_repeatable:
             components.latencies.note(route.name, now - opened.sent_at)
         return opened.answer, body
--- a/yarrowwall/dispatch/sender.py
+++ b/yarrowwall/dispatch/sender.py
@@ -237,7 +237,9 @@
             try:
                 head = connection.read_head(self.rules.next_check_s(self._components.now()))
             except AnswerTimeoutError:
-                if not self.rules.should_keep_waiting(incarnation, started_at, self._components.now()):
+                if not self.rules.should_keep_waiting(
+                    incarnation, started_at, self._components.now()
+                ):
                     raise
                 continue
             self._components.directory.note_heard(incarnation, self._components.now())
--- a/yarrowwall/gateway/turn.py
+++ b/yarrowwall/gateway/turn.py
@@ -90,7 +90,9 @@
             loads.wait()
             self._hold_turns_before(grant)
             self._begin_program(grant, allowance)
-            under_way.enter_context(self._components.admission.track_turn(self._attempt, self._service))
+            under_way.enter_context(
+                self._components.admission.track_turn(self._attempt, self._service)
+            )
             opened = relay.open()
             if opened.answer.status != HTTPStatus.OK:
                 yield self._pass_on_failure(opened.answer, sender)
