--- a/features/steps/backoff_steps.py
+++ b/features/steps/backoff_steps.py
@@ -15,7 +15,7 @@
 from yarrowwall.ports.object_store import Listing, ObjectName, ObjectStoreError, StoredObject
 from yarrowwall.watching.follower import KindFollower
 from yarrowwall.watching.freshness_probe import FreshnessProbe
-from yarrowwall.watching.order import ReaderOrder
+from yarrowwall.watching.reader_selection import ReaderSelection
 
 NOW_S = 100.0
 
@@ -27,7 +27,7 @@
 class _Silent:
     """A store that answers nothing."""
 
-    def list(self, kind: str, timeout_s: float, may_be_old: bool = False) -> Listing:
+    def list(self, kind: str, timeout_s: float, allow_stale: bool = False) -> Listing:
         """Fail."""
         raise ObjectStoreError(kind)
 
@@ -35,7 +35,7 @@
         """Fail."""
         raise ObjectStoreError(kind)
 
-    def wait_for_contact(self, seconds: float) -> None:
+    def wait_for_recovery(self, seconds: float) -> None:
         """Pause."""
         eventlet.sleep(seconds)
 
@@ -69,10 +69,10 @@
 
 
 def reader_pause_s(failures: int) -> float:
-    order = ReaderOrder("edge-0", "a")
+    order = ReaderSelection("edge-0", "a")
     order.put(Member("a-1", "disk", "127.0.0.1:1", "a"))
     for _ in range(failures + 1):
-        order.note_silent("a-1", NOW_S)
+        order.note_no_answer("a-1", NOW_S)
     return order._passed_over_until["a-1"] - NOW_S
 
 
--- a/features/steps/following_steps.py
+++ b/features/steps/following_steps.py
@@ -21,7 +21,7 @@
 )
 from features.support.following_store import Outage
 from yarrowwall.cli.stale import stale
-from yarrowwall.watching.contact import StoreContact
+from yarrowwall.watching.availability import StoreAvailability
 
 #: Schedules of each trouble in which a broken product has to be found.
 MUTANT_SEEDS = range(40)
@@ -94,7 +94,7 @@
 
 @given("a store that answered a question sent at {sent_at_s:f} s")
 def answered_once(context: Context, sent_at_s: float) -> None:
-    context.contact = StoreContact()
+    context.contact = StoreAvailability()
     context.contact.note_answered(sent_at_s)
 
 
--- a/features/steps/freshness_steps.py
+++ b/features/steps/freshness_steps.py
@@ -16,7 +16,7 @@
 from yarrowwall.decisions import DecisionLog
 from yarrowwall.policy.freshness import Freshness
 from yarrowwall.ports.object_store import ObjectName, StoredObject
-from yarrowwall.watching.prover import ObjectProver
+from yarrowwall.watching.object_verifier import ObjectVerifier
 
 SEEDS = range(400)
 NOW_S = 1000.0
@@ -74,15 +74,15 @@
     context.newer = NewerStore()
     log = DecisionLog("storage-0")
     target = ObjectName("config", "main")
-    context.prover = ObjectProver(
+    context.prover = ObjectVerifier(
         context.newer,
         target,
         log,
         time.monotonic,
-        on_proved=lambda: None,
-        on_behind=context.newer.interrupt_watches,
+        on_verified=lambda: None,
+        on_stale=context.newer.interrupt_watches,
     )
-    context.prover.proof.note_known(3)
+    context.prover.state.note_known(3)
 
 
 @when("it has asked once")
--- a/features/steps/gateway_loss_steps.py
+++ b/features/steps/gateway_loss_steps.py
@@ -16,7 +16,7 @@
 from yarrowwall.exceptions import StoreUncertainError
 from yarrowwall.messages.replicated import GroupView, Member
 from yarrowwall.model import Attempt, ProgramContext, RequestKind, Route
-from yarrowwall.ports.object_store import StoredObject, StoreSilentError
+from yarrowwall.ports.object_store import StoredObject, StoreTimeoutError
 from yarrowwall.replication.group_views import GroupViews
 from yarrowwall.replication.loss_checks import LossChecks
 from yarrowwall.replication.losses import loss_reason
@@ -35,7 +35,7 @@
     """A store that does not answer."""
 
     def get(self, kind: str, name: str, timeout_s: float) -> StoredObject | None:
-        raise StoreSilentError(name)
+        raise StoreTimeoutError(name)
 
 
 def _address(context: Context, replica: RecordReplica) -> str:
--- a/features/steps/reader_steps.py
+++ b/features/steps/reader_steps.py
@@ -24,11 +24,11 @@
     StoredObject,
 )
 from yarrowwall.watching.follower import KindFollower
-from yarrowwall.watching.order import ReaderOrder
-from yarrowwall.watching.picture import KindPicture
-from yarrowwall.watching.reader import ObjectReader
-from yarrowwall.watching.store import ReaderStore
-from yarrowwall.watching.wire import ObjectEncoder, changes, stored
+from yarrowwall.watching.object_cache import ObjectCache
+from yarrowwall.watching.reader import StoreReader
+from yarrowwall.watching.reader_selection import ReaderSelection
+from yarrowwall.watching.store_client import StoreClient
+from yarrowwall.watching.wire import ObjectEncoder, decode_changes, decode_object
 
 SEEDS = range(300)
 #: All machines of the scenarios' world stand in one zone, and this is the first by name.
@@ -38,19 +38,19 @@
 READERS = ("storage-0", "storage-1", "storage-2")
 
 
-def _take_without_ends(self: KindPicture, changes: list[Change], revision: int) -> None:
+def _take_without_ends(self: ObjectCache, changes: list[Change], revision: int) -> None:
     _take(self, [change for change in changes if not change.is_gone], revision)
 
 
-_take = KindPicture.take
-_changes_since = KindPicture.changes_since
+_take = ObjectCache.take
+_changes_since = ObjectCache.changes_since
 
 
-def _pass_over_forgotten(self: KindPicture, revision: int) -> Changes | None:
+def _pass_over_forgotten(self: ObjectCache, revision: int) -> Changes | None:
     return _changes_since(self, max(revision, self.oldest_revision))
 
 
-def _leave_out_partly_known(self: KindPicture, revision: int) -> Changes | None:
+def _leave_out_partly_known(self: ObjectCache, revision: int) -> Changes | None:
     found = _changes_since(self, revision)
     if found is None:
         return None
@@ -76,7 +76,7 @@
 
 @given("readers of which {mutant}")
 def mutant_readers(context: Context, mutant: str) -> None:
-    context.mutant = patch.object(KindPicture, *MUTANTS[mutant])
+    context.mutant = patch.object(ObjectCache, *MUTANTS[mutant])
 
 
 @then("some random history followed through two readers ends in another state")
@@ -89,7 +89,7 @@
 def known_readers(context: Context) -> None:
     names = ("b-2", "a-3", "a-1", "b-1", "a-2")
     context.readers = [Member(name, f"disk-{name}", "127.0.0.1:1", name[0]) for name in names]
-    context.order = ReaderOrder("edge-0", "a")
+    context.order = ReaderSelection("edge-0", "a")
     context.order.replace_all(context.readers)
 
 
@@ -98,7 +98,7 @@
     context: Context, count: int, zone: str, first: str, second: str, third: str
 ) -> None:
     for number in range(count):
-        order = ReaderOrder(f"edge-{number}", zone)
+        order = ReaderSelection(f"edge-{number}", zone)
         order.replace_all(context.readers)
         asked = [reader.node_id for reader in order.candidates(0.0)]
         assert asked == [first, second, third], asked
@@ -106,7 +106,7 @@
 
 @when('"{reader}" does not answer at {now_s:f} s')
 def silent_reader(context: Context, reader: str, now_s: float) -> None:
-    context.order.note_silent(reader, now_s)
+    context.order.note_no_answer(reader, now_s)
 
 
 @then('at {now_s:f} s machines of zone "{zone}" ask "{reader}" first')
@@ -193,7 +193,7 @@
     def __init__(self) -> None:
         self.changed = Event()
 
-    def list(self, kind: str, timeout_s: float, may_be_old: bool = False) -> Listing:
+    def list(self, kind: str, timeout_s: float, allow_stale: bool = False) -> Listing:
         """Return the object."""
         return Listing([StoredObject("main", 1, {}, {})], 1)
 
@@ -217,7 +217,7 @@
     context.one_object = _OneObject()
     log = DecisionLog("storage-0")
     target = ObjectName("config", "main")
-    context.reader = ObjectReader(context.one_object, target, log, time.monotonic)
+    context.reader = StoreReader(context.one_object, target, log, time.monotonic)
 
 
 @when("two questions wait for a change, the second for {wait_ms:d} ms")
@@ -275,14 +275,14 @@
 
 @when("{count:d} machines ask for it")
 def many_ask(context: Context, count: int) -> None:
-    context.encodings += [context.encoder.relayed(context.item) for _ in range(count)]
+    context.encodings += [context.encoder.encode(context.item) for _ in range(count)]
 
 
 @when("it changes and {count:d} machines ask for the change")
 def many_ask_for_change(context: Context, count: int) -> None:
     context.item = _configuration(len(context.item.spec["routes"]), 2)
     change = Change(context.item, False)
-    context.encodings += [context.encoder.relayed_change(change) for _ in range(count)]
+    context.encodings += [context.encoder.encode_change(change) for _ in range(count)]
 
 
 def _distinct(context: Context) -> int:
@@ -293,13 +293,13 @@
 def encoded_once(context: Context, limit: int) -> None:
     assert _distinct(context) == 1
     assert len(context.encodings[0].content) < limit, len(context.encodings[0].content)
-    assert stored(context.encodings[0]) == context.item
+    assert decode_object(context.encodings[0]) == context.item
 
 
 @then("it was encoded twice, and each machine got what the store has")
 def encoded_twice(context: Context) -> None:
     assert _distinct(context) == 2
-    assert changes([context.encodings[-1]]) == [Change(context.item, False)]
+    assert decode_changes([context.encodings[-1]]) == [Change(context.item, False)]
 
 
 class _SilentStore:
@@ -317,7 +317,7 @@
             raise ObjectStoreError(kind)
         self.answered.add(kind)
 
-    def list(self, kind: str, timeout_s: float, may_be_old: bool = False) -> Listing:
+    def list(self, kind: str, timeout_s: float, allow_stale: bool = False) -> Listing:
         """Return nothing, if it answers."""
         self._answer(kind)
         return Listing([], 1)
@@ -342,7 +342,7 @@
 def without_readers(context: Context) -> None:
     context.silent = _SilentStore()
     log = DecisionLog("edge-0")
-    context.store = ReaderStore("edge-0", "a", context.silent, None, (), log, time.monotonic)
+    context.store = StoreClient("edge-0", "a", context.silent, None, (), log, time.monotonic)
     # It has long known that there is no reader.
     context.store._started_at -= 10.0
     context.store._answered_at -= 10.0
--- a/features/support/detour_model.py
+++ b/features/support/detour_model.py
@@ -28,7 +28,7 @@
 from yarrowwall.replication.passage import NeighbourPassage
 from yarrowwall.replication.relayed_links import RelayedLinkTable
 from yarrowwall.watching import replies
-from yarrowwall.watching.store import ReaderStore
+from yarrowwall.watching.store_client import StoreClient
 
 #: Seconds of calm before a cut and behind it.
 CALM_S = 6.0
@@ -106,7 +106,7 @@
         self.rng = rng
         self.tables: dict[str, _Table] = {}
         self.forwarders: dict[str, Forwarder] = {}
-        self.stores: dict[str, ReaderStore] = {}
+        self.stores: dict[str, StoreClient] = {}
         self.asked: Counter[str] = Counter()
         self.most_under_way = 0
         self.late_part = 0.0
@@ -120,13 +120,13 @@
             for _ in range(count)
         ]
 
-    def _connect(self, host: Host, store: ReaderStore) -> None:
+    def _connect(self, host: Host, store: StoreClient) -> None:
         if host in self.readers:
             return
         table = self.tables[host.node_id] = _Table(self, host)
         self.stores[host.node_id] = store
         self.forwarders[host.node_id] = Forwarder(table, store.has_reader_at)
-        store.detour.use(NeighbourPassage(table, now_s))
+        store.relayed_reads.set_forwarder(NeighbourPassage(table, now_s))
         table.paths.replace_neighbours(self._neighbours_of(host))
 
     def _neighbours_of(self, host: Host) -> list[Neighbour]:
@@ -251,7 +251,7 @@
         healed_s = now_s()
         for host in cut:
             self.world.heal(host)
-        while any(self.world.stores[host.node_id].detour.is_open for host in cut):
+        while any(self.world.stores[host.node_id].relayed_reads.is_active for host in cut):
             assert now_s() - healed_s < MOST_BACK_S
             eventlet.sleep(LOOK_S)
         return now_s() - healed_s
@@ -420,7 +420,7 @@
 
 MUTANTS: dict[str, Callable[[], AbstractContextManager[Any]]] = {
     "the asker counts from the reply": lambda: patch.object(
-        replies, "proved_at_s", _counted_from_reply
+        replies, "verified_at_s", _counted_from_reply
     ),
     "a neighbour brings an earlier answer again": lambda: patch.object(
         Forwarder, "handle", _brought_again
--- a/features/support/following_model.py
+++ b/features/support/following_model.py
@@ -23,11 +23,11 @@
 from yarrowwall.policy.freshness import Freshness
 from yarrowwall.ports.object_store import ObjectName, StoredObject
 from yarrowwall.replication.documents import REPLICAS_KIND, member_spec
-from yarrowwall.watching import store as reader_store
+from yarrowwall.watching import store_client as reader_store
 from yarrowwall.watching.follower import LONG_WATCH_SECONDS, WATCH_SECONDS, KindFollower
 from yarrowwall.watching.freshness_probe import FreshnessProbe
-from yarrowwall.watching.reader import ObjectReader
-from yarrowwall.watching.store import ReaderStore
+from yarrowwall.watching.reader import StoreReader
+from yarrowwall.watching.store_client import StoreClient
 
 CONFIG = ObjectName("config", "main")
 SERVERS = "servers"
@@ -82,7 +82,7 @@
     incarnation: int = 0
     is_up: bool = False
     is_frozen: bool = False
-    reader: ObjectReader | None = None
+    reader: StoreReader | None = None
     lines: Lines = field(default_factory=Lines)
     seen: list[Seen] = field(default_factory=list)
     had: int = 0
@@ -230,7 +230,7 @@
         is_reader = host in self.readers
         host.reader = self._make_reader(host) if is_reader else None
         with patch.object(reader_store, "LinkTable", lambda log, now: Links(self, host)):
-            store = ReaderStore(
+            store = StoreClient(
                 host.node_id,
                 host.zone,
                 direct,
@@ -249,22 +249,22 @@
         else:
             self._start_gateway(host, store)
 
-    def _connect(self, host: Host, store: ReaderStore) -> None:
+    def _connect(self, host: Host, store: StoreClient) -> None:
         """Give a machine's store further ways; here there are none."""
 
-    def _make_reader(self, host: Host) -> ObjectReader:
+    def _make_reader(self, host: Host) -> StoreReader:
         log: Any = host.lines
-        return ObjectReader(self._client(host), CONFIG, log, now_s)
+        return StoreReader(self._client(host), CONFIG, log, now_s)
 
     def _client(self, host: Host) -> PlatformStore:
         return _Client(self, host, host.incarnation)
 
     def _keep_reader(self, host: Host, incarnation: int) -> None:
         while host.incarnation == incarnation and host.reader is not None:
-            host.reader.stop_unwanted()
+            host.reader.stop_idle_kinds()
             eventlet.sleep(UPKEEP_S)
 
-    def _start_gateway(self, host: Host, store: ReaderStore) -> None:
+    def _start_gateway(self, host: Host, store: StoreClient) -> None:
         log: Any = host.lines
         incarnation = host.incarnation
         freshness = _NotedFreshness(host)
@@ -283,7 +283,7 @@
             take_all,
             lambda change: take(change.item),
             log,
-            on_proved=freshness.note_proved,
+            on_verified=freshness.note_proved,
         )
         config.start()
         self._follow(host, store, SERVERS, LONG_WATCH_SECONDS)
@@ -295,7 +295,7 @@
         if not host.seen or host.seen[-1].version < version:
             host.seen.append(Seen(now_s(), version))
 
-    def _follow(self, host: Host, store: ReaderStore, kind: str, watch_s: float) -> None:
+    def _follow(self, host: Host, store: StoreClient, kind: str, watch_s: float) -> None:
         log: Any = host.lines
         KindFollower(
             store,
@@ -304,7 +304,7 @@
             lambda change: None,
             log,
             watch_s=watch_s,
-            may_be_old=True,
+            allow_stale=True,
         ).start()
 
     def kill(self, host: Host) -> None:
--- a/features/support/following_mutants.py
+++ b/features/support/following_mutants.py
@@ -7,22 +7,22 @@
 
 from yarrowwall.policy.freshness import Freshness
 from yarrowwall.ports.object_store import Change
-from yarrowwall.watching import prover
-from yarrowwall.watching import store as reader_store
-from yarrowwall.watching.contact_store import ContactStore
+from yarrowwall.watching import object_verifier
+from yarrowwall.watching import store_client as reader_store
 from yarrowwall.watching.follower import KindFollower
-from yarrowwall.watching.picture import KindPicture
+from yarrowwall.watching.monitored_store import MonitoredStore
+from yarrowwall.watching.object_cache import ObjectCache
 
-_take = KindPicture.take
+_take = ObjectCache.take
 _watch = KindFollower._watch
 _list = KindFollower._list
 
 
-def _ends_nothing(self: ContactStore, opened_before_s: float) -> None:
+def _ends_nothing(self: MonitoredStore, opened_before_s: float) -> None:
     """Leave all watches as they are."""
 
 
-def _loses_the_last(self: KindPicture, changes: list[Change], revision: int) -> None:
+def _loses_the_last(self: ObjectCache, changes: list[Change], revision: int) -> None:
     _take(self, changes[:-1] if len(changes) > 1 else changes, revision)
 
 
@@ -31,22 +31,22 @@
 
 
 def _lists_stale(self: KindFollower) -> int:
-    self._may_be_old = True
+    self._allow_stale = True
     return _list(self)
 
 
 MUTANTS: dict[str, Callable[[], AbstractContextManager[Any]]] = {
     "a watch from before an outage is trusted": lambda: patch.object(
-        ContactStore, "_end_doubted", _ends_nothing
+        MonitoredStore, "_end_doubted", _ends_nothing
     ),
-    "the last change of a row is lost": lambda: patch.object(KindPicture, "take", _loses_the_last),
+    "the last change of a row is lost": lambda: patch.object(ObjectCache, "take", _loses_the_last),
     "a wait goes on from a later revision": lambda: patch.object(
         KindFollower, "_watch", _goes_on_too_far
     ),
-    "a lost question is waited for": lambda: patch.object(prover, "AGAIN_SECONDS", 3.0),
-    "no reader is looked for": lambda: patch.object(reader_store, "READERS_LOOKED_FOR", 0),
+    "a lost question is waited for": lambda: patch.object(object_verifier, "RESEND_SECONDS", 3.0),
+    "no reader is looked for": lambda: patch.object(reader_store, "READERS_CHECKED", 0),
     "pauses go on when the store is back": lambda: patch.object(
-        reader_store.ReaderStore, "_note_back", lambda self: None
+        reader_store.StoreClient, "_note_back", lambda self: None
     ),
     "a gateway never asks for itself": lambda: patch.object(
         Freshness, "is_worth_asking", lambda self, now_s: False
--- a/features/support/freshness_model.py
+++ b/features/support/freshness_model.py
@@ -9,7 +9,7 @@
 from yarrowwall.messages.objects import ObjectsReply, ObjectsStatus
 from yarrowwall.policy.freshness import Freshness
 from yarrowwall.watching import replies
-from yarrowwall.watching.proof import StateProof
+from yarrowwall.watching.verified_state import VerifiedState
 
 END_S = 30.0
 CHANGES = 8
@@ -65,7 +65,7 @@
     """
     rng = random.Random(seed)
     changed_s, steps = plan(rng)
-    proof = StateProof()
+    proof = VerifiedState()
     freshness = Freshness(5.0, 3.0)
     known = 0
     heard: list[tuple[float, int, ObjectsReply, float]] = []
@@ -81,44 +81,46 @@
             _note_answer(proof, revision, sent_s, answered_s)
         else:
             sent_s, arrived_s, _, heard_s = step.values
-            proved_s = proof.proved_at_s
+            proved_s = proof.verified_at_s
             after_s = None if proved_s is None else proved_s - (arrived_s + READER_CLOCK_S)
             reply = ObjectsReply(ObjectsStatus.OK, [], known, after_s)
             heard.append((heard_s, known, reply, sent_s))
     for heard_s, revision, reply, sent_s in sorted(heard, key=lambda one: one[0]):
-        proved_at_s = _proved_at_s(reply, sent_s + GATEWAY_CLOCK_S, heard_s + GATEWAY_CLOCK_S)
-        if proved_at_s is None:
+        verified_at_s = _proved_at_s(reply, sent_s + GATEWAY_CLOCK_S, heard_s + GATEWAY_CLOCK_S)
+        if verified_at_s is None:
             continue
-        freshness.note_proved(proved_at_s)
-        missed_s = [at_s for at_s in changed_s[revision:] if at_s <= proved_at_s - GATEWAY_CLOCK_S]
+        freshness.note_proved(verified_at_s)
+        missed_s = [
+            at_s for at_s in changed_s[revision:] if at_s <= verified_at_s - GATEWAY_CLOCK_S
+        ]
         if missed_s:
-            worst_s = max(worst_s, proved_at_s - GATEWAY_CLOCK_S - missed_s[0])
+            worst_s = max(worst_s, verified_at_s - GATEWAY_CLOCK_S - missed_s[0])
     return worst_s
 
 
-def _note_answer(proof: StateProof, revision: int, sent_s: float, answered_s: float) -> None:
+def _note_answer(proof: VerifiedState, revision: int, sent_s: float, answered_s: float) -> None:
     proof.note_answer(revision, sent_s + READER_CLOCK_S)
 
 
 def _proved_at_s(reply: ObjectsReply, sent_at_s: float, heard_at_s: float) -> float | None:
-    return replies.proved_at_s(reply, sent_at_s)
+    return replies.verified_at_s(reply, sent_at_s)
 
 
 # Mutants
 
 
 def _counted_from_answer(
-    proof: StateProof, revision: int, sent_s: float, answered_s: float
+    proof: VerifiedState, revision: int, sent_s: float, answered_s: float
 ) -> None:
     proof.note_answer(revision, answered_s + READER_CLOCK_S)
 
 
-def _any_answer(proof: StateProof, revision: int, sent_s: float, answered_s: float) -> None:
+def _any_answer(proof: VerifiedState, revision: int, sent_s: float, answered_s: float) -> None:
     proof.note_answer(0, sent_s + READER_CLOCK_S)
 
 
 def _counted_from_hearing(reply: ObjectsReply, sent_at_s: float, heard_at_s: float) -> float | None:
-    return replies.proved_at_s(reply, heard_at_s)
+    return replies.verified_at_s(reply, heard_at_s)
 
 
 #: What a mutant replaces in this module.
--- a/features/support/reader_model.py
+++ b/features/support/reader_model.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 
 from yarrowwall.ports.object_store import Change, Changes, StoredObject
-from yarrowwall.watching.picture import KindPicture
+from yarrowwall.watching.object_cache import ObjectCache
 
 NAMES = ("a", "b", "c", "d")
 STEPS = 60
@@ -42,7 +42,7 @@
         self.items: dict[str, StoredObject] = {}
         self.revision = 0
 
-    def ask(self, picture: KindPicture) -> None:
+    def ask(self, picture: ObjectCache) -> None:
         """Take in what a reader tells, as a follower does."""
         found: Changes | None = None
         if self.revision:
@@ -69,7 +69,7 @@
     """
     rng = random.Random(seed)
     store = StoreModel()
-    pictures = [KindPicture(), KindPicture()]
+    pictures = [ObjectCache(), ObjectCache()]
     for picture in pictures:
         picture.replace_all([], store.revision)
     receiver = Receiver()
--- a/yarrowwall/addresses.py
+++ b/yarrowwall/addresses.py
@@ -2,7 +2,7 @@
 
 import ipaddress
 
-MOST_PORT = 65535
+MAX_PORT = 65535
 
 
 def split_address(address: str) -> tuple[str, int]:
@@ -21,6 +21,6 @@
         ipaddress.ip_address(host.strip("[]"))
     except ValueError as error:
         raise ValueError("must be IP:PORT with a numeric IP address") from error
-    if not port.isdigit() or not 0 <= int(port) <= MOST_PORT:
+    if not port.isdigit() or not 0 <= int(port) <= MAX_PORT:
         raise ValueError("must be IP:PORT with a port from 0 to 65535")
     return value
--- a/yarrowwall/machine/gateway_followers.py
+++ b/yarrowwall/machine/gateway_followers.py
@@ -14,7 +14,7 @@
 from yarrowwall.replication.group_views import GroupViews
 from yarrowwall.watching.follower import LONG_WATCH_SECONDS, KindFollower
 from yarrowwall.watching.freshness_probe import FreshnessProbe
-from yarrowwall.watching.store import ReaderStore
+from yarrowwall.watching.store_client import StoreClient
 
 
 class GatewayFollowers:
@@ -28,7 +28,7 @@
     def __init__(
         self,
         node_id: str,
-        store: ReaderStore,
+        store: StoreClient,
         documents: Documents,
         gateway: GatewayState,
         directory: ServerDirectory,
@@ -61,7 +61,7 @@
                 self._configuration_changed,
                 log,
                 self._note_read,
-                on_proved=freshness.note_proved,
+                on_verified=freshness.note_proved,
             ),
             KindFollower(
                 store,
@@ -71,7 +71,7 @@
                 log,
                 self._note_read,
                 watch_s=LONG_WATCH_SECONDS,
-                may_be_old=True,
+                allow_stale=True,
             ),
             KindFollower(
                 store,
@@ -81,7 +81,7 @@
                 log,
                 self._note_read,
                 watch_s=LONG_WATCH_SECONDS,
-                may_be_old=True,
+                allow_stale=True,
             ),
         ]
 
@@ -92,13 +92,13 @@
         self._probe.start()
 
     @property
-    def is_informed(self) -> bool:
+    def has_initial_state(self) -> bool:
         """Return whether configuration, servers and replicas were read."""
         has_listed = all(follower.has_listed for follower in self._followers)
         return has_listed and self._gateway.table is not None and self._views.count > 0
 
     def _note_read(self, revision: int) -> None:
-        if self.is_informed:
+        if self.has_initial_state:
             self._gateway.note_informed()
 
     # Configuration
--- a/yarrowwall/machine/gateway_role.py
+++ b/yarrowwall/machine/gateway_role.py
@@ -38,7 +38,7 @@
 from yarrowwall.replication.quorum_client import QuorumClient
 from yarrowwall.replication.relayed_links import RelayedLinkTable
 from yarrowwall.replication.rpc import serve_requests
-from yarrowwall.watching.store import ReaderStore
+from yarrowwall.watching.store_client import StoreClient
 
 #: Seconds between rounds of housekeeping.
 HOUSEKEEPING_SECONDS = 0.5
@@ -48,7 +48,7 @@
 STOP_MARGIN_SECONDS = 0.7
 
 
-class GatewayService:
+class GatewayRole:
     """Runs a gateway."""
 
     def __init__(
@@ -56,7 +56,7 @@
         settings: MachineSettings,
         own: GatewaySettings,
         adapter: Adapter,
-        store: ReaderStore,
+        store: StoreClient,
         listeners: EarlyListeners,
         log: DecisionLog,
     ) -> None:
@@ -76,7 +76,7 @@
         own_address = Neighbour(settings.node_id, settings.zone, settings.peer_address)
         self._finder = NeighbourFinder(own_address, self._views, links)
         self._forwarder = Forwarder(links, self._is_passed_on_to)
-        store.detour.use(NeighbourPassage(links, time.monotonic))
+        store.relayed_reads.set_forwarder(NeighbourPassage(links, time.monotonic))
         client = QuorumClient(settings.zone, self._views, links, time.monotonic)
         losses = LossChecks(self._views, links, store, log, time.monotonic)
         client.has_lost, client.on_all_gone = losses.has_lost, losses.check
@@ -123,7 +123,7 @@
         """Begin to follow the store and to listen."""
         self._followers.start()
         self._loads.start()
-        if self._settings.takes_forwarded:
+        if self._settings.accepts_forwarded_requests:
             self._start_forwarding()
         callers = SteadyListener(self._listeners.take(self._own.http_address), self._log)
         eventlet.spawn_n(serve, callers, self.gateway, self._limits, self._log)
@@ -162,12 +162,12 @@
             eventlet.sleep(0.05)
         self.gateway.note_process_ended()
 
-    def measure(self, metrics: MachineMetrics) -> None:
+    def update_metrics(self, metrics: MachineMetrics) -> None:
         """Set the metrics that are measured when they are asked for."""
         metrics.set_age(self.gateway.configuration_age_s)
         metrics.set_relayed(self._links.relayed, self._forwarder.forwarded)
         metrics.set_relay_refusals(self._links.refused, self._forwarder.refused)
-        metrics.set_reader_detours(self._store.detour.outcomes)
+        metrics.set_reader_detours(self._store.relayed_reads.outcomes)
         metrics.set_held(
             {
                 "all": self._memory.held,
@@ -188,7 +188,9 @@
         if self._links.paths.is_served(time.monotonic()):
             return False
         is_able = (
-            self._followers.is_informed and self._ledger.is_reachable and self.gateway.serves_keys
+            self._followers.has_initial_state
+            and self._ledger.is_reachable
+            and self.gateway.serves_keys
         )
         return is_able and not self.gateway.is_stopping
 
--- a/yarrowwall/machine/process.py
+++ b/yarrowwall/machine/process.py
@@ -12,21 +12,21 @@
 from yarrowwall.decisions import DecisionLog
 from yarrowwall.exceptions import SettingsError
 from yarrowwall.listening import SteadyListener
-from yarrowwall.machine.gateway_role import GatewayService
+from yarrowwall.machine.gateway_role import GatewayRole
 from yarrowwall.machine.listeners import EarlyListeners
-from yarrowwall.machine.replica_role import ReplicaService
+from yarrowwall.machine.replica_role import ReplicaRole
 from yarrowwall.machine.settings import MachineSettings, load_machine_settings
 from yarrowwall.metrics import MachineMetrics, serve_metrics
 from yarrowwall.ports.object_store import ObjectName
 from yarrowwall.ports.platform import Adapter
-from yarrowwall.watching.reader import ObjectReader
-from yarrowwall.watching.store import ReaderStore
+from yarrowwall.watching.reader import StoreReader
+from yarrowwall.watching.store_client import StoreClient
 
 #: Seconds between looks at the settings file, which may change without a signal.
 SETTINGS_SECONDS = 2.0
 
 
-class Part(Protocol):
+class Role(Protocol):
     """A role of a machine."""
 
     def start(self) -> None:
@@ -35,7 +35,7 @@
     def stop(self) -> None:
         """Finish what runs; returns when done."""
 
-    def measure(self, metrics: MachineMetrics) -> None:
+    def update_metrics(self, metrics: MachineMetrics) -> None:
         """Set the metrics that are measured when they are asked for."""
 
 
@@ -62,16 +62,14 @@
         self._is_stopping = False
         reader = self._make_reader(adapter) if settings.replica is not None else None
         self._store = self._make_store(adapter, reader)
-        self._parts: list[Part] = []
+        self._parts: list[Role] = []
         if settings.gateway is not None:
             self._parts.append(
-                GatewayService(
-                    settings, settings.gateway, adapter, self._store, listeners, self._log
-                )
+                GatewayRole(settings, settings.gateway, adapter, self._store, listeners, self._log)
             )
         if settings.replica is not None and reader is not None:
             self._parts.append(
-                ReplicaService(
+                ReplicaRole(
                     settings,
                     settings.replica,
                     adapter.documents,
@@ -82,20 +80,20 @@
                 )
             )
 
-    def _make_reader(self, adapter: Adapter) -> ObjectReader:
+    def _make_reader(self, adapter: Adapter) -> StoreReader:
         """Return what reads the store for other machines, and for this one."""
         documents = adapter.documents
-        return ObjectReader(
+        return StoreReader(
             adapter.make_store(),
             ObjectName(documents.configuration_kind, documents.configuration_name),
             self._log,
             time.monotonic,
         )
 
-    def _make_store(self, adapter: Adapter, reader: ObjectReader | None) -> ReaderStore:
+    def _make_store(self, adapter: Adapter, reader: StoreReader | None) -> StoreClient:
         """Return the store as this machine reads it."""
         documents = adapter.documents
-        return ReaderStore(
+        return StoreClient(
             self._settings.node_id,
             self._settings.zone,
             adapter.make_store(),
@@ -124,7 +122,7 @@
 
     def _render_metrics(self) -> bytes:
         for part in self._parts:
-            part.measure(self._metrics)
+            part.update_metrics(self._metrics)
         return self._metrics.render(self._log.dropped)
 
     def stop(self) -> None:
--- a/yarrowwall/machine/registration.py
+++ b/yarrowwall/machine/registration.py
@@ -76,7 +76,7 @@
             return False
         return True
 
-    def tell_retirement(self, views: Sequence[GroupView]) -> None:
+    def report_retirement(self, views: Sequence[GroupView]) -> None:
         """Report whether this machine, if it is to be emptied, holds nothing any more.
 
         :param views: the newest views of all groups.
--- a/yarrowwall/machine/replica_requests.py
+++ b/yarrowwall/machine/replica_requests.py
@@ -27,12 +27,12 @@
 from yarrowwall.replication.replica import Request
 from yarrowwall.replication.synchroniser import Synchroniser
 from yarrowwall.replication.views import is_zone_group
-from yarrowwall.watching.reader import ObjectReader
+from yarrowwall.watching.reader import StoreReader
 
 Reply = Callable[[object], None]
 
 
-class KeptReplica(NamedTuple):
+class LocalReplica(NamedTuple):
     """A replica of the machine with its disk and its copying."""
 
     disk: RecordDisk
@@ -47,7 +47,7 @@
     """
 
     def __init__(
-        self, common: KeptReplica, zone: KeptReplica, lending: QuotaLending, reader: ObjectReader
+        self, common: LocalReplica, zone: LocalReplica, lending: QuotaLending, reader: StoreReader
     ) -> None:
         self._common = common
         self._zone = zone
@@ -82,12 +82,12 @@
             case _:
                 self._ask_replica(cast(Request, request), reply)
 
-    def replica_of(self, group: int) -> KeptReplica:
+    def replica_of(self, group: int) -> LocalReplica:
         """Return the replica that is for groups of a kind."""
         return self._zone if is_zone_group(group) else self._common
 
     @staticmethod
-    def _status(kept: KeptReplica) -> StatusReply:
+    def _status(kept: LocalReplica) -> StatusReply:
         return kept.disk.replica.status()
 
     def _ask_replica(self, request: Request, reply: Reply) -> None:
@@ -104,7 +104,7 @@
             lambda: reply(RecordsReply(ReplyStatus.DISK_REFUSED, False, [], None)),
         )
 
-    def _after_persist(self, asked: KeptReplica, reply: object) -> object:
+    def _after_persist(self, asked: LocalReplica, reply: object) -> object:
         asked.synchroniser.look()
         return self._status(asked) if isinstance(reply, StatusReply) else reply
 
--- a/yarrowwall/machine/replica_role.py
+++ b/yarrowwall/machine/replica_role.py
@@ -9,7 +9,7 @@
 from yarrowwall.listening import SteadyListener
 from yarrowwall.machine.listeners import EarlyListeners
 from yarrowwall.machine.registration import Registration
-from yarrowwall.machine.replica_requests import KeptReplica, ReplicaRequests
+from yarrowwall.machine.replica_requests import LocalReplica, ReplicaRequests
 from yarrowwall.machine.settings import MachineSettings, ReplicaSettings
 from yarrowwall.messages.replicated import (
     GroupView,
@@ -39,7 +39,7 @@
 from yarrowwall.replication.synchroniser import Synchroniser
 from yarrowwall.replication.views import all_members, disk_ids, is_zone_group, zone_of
 from yarrowwall.watching.follower import LONG_WATCH_SECONDS, KindFollower
-from yarrowwall.watching.reader import ObjectReader
+from yarrowwall.watching.reader import StoreReader
 
 #: Seconds between rounds of upkeep, and between looks for records to drop.
 UPKEEP_SECONDS = 0.3
@@ -51,7 +51,7 @@
 ZONE_FOLDER = "zone"
 
 
-class ReplicaService:
+class ReplicaRole:
     """Runs a replica of the record store."""
 
     def __init__(
@@ -60,7 +60,7 @@
         own: ReplicaSettings,
         documents: Documents,
         store: ObjectStore,
-        reader: ObjectReader,
+        reader: StoreReader,
         listeners: EarlyListeners,
         log: DecisionLog,
     ) -> None:
@@ -78,10 +78,10 @@
         self._links = LinkTable(log, time.monotonic)
         self._peers = ReplicaPeers(settings.node_id, settings.zone, self._links, time.monotonic)
         self._lending = QuotaLending(self._disk, self._peers, log)
-        self._common = KeptReplica(
+        self._common = LocalReplica(
             self._disk, Synchroniser(self._disk, self._links, log, time.time)
         )
-        self._zone = KeptReplica(
+        self._zone = LocalReplica(
             zone_disk, Synchroniser(zone_disk, self._links, log, time.time, ZONE_LOOK_SECONDS)
         )
         self._coordinator = Coordinator(
@@ -109,7 +109,7 @@
                 self._group_changed,
                 log,
                 watch_s=LONG_WATCH_SECONDS,
-                may_be_old=True,
+                allow_stale=True,
             ),
             KindFollower(
                 store,
@@ -118,7 +118,7 @@
                 self._replica_changed,
                 log,
                 watch_s=LONG_WATCH_SECONDS,
-                may_be_old=True,
+                allow_stale=True,
             ),
             KindFollower(
                 store,
@@ -126,7 +126,7 @@
                 self._retirements_listed,
                 self._retirement_changed,
                 log,
-                may_be_old=True,
+                allow_stale=True,
             ),
         ]
 
@@ -146,7 +146,7 @@
     def stop(self) -> None:
         """Return at once: whatever was acknowledged is on disk."""
 
-    def measure(self, metrics: MachineMetrics) -> None:
+    def update_metrics(self, metrics: MachineMetrics) -> None:
         """Set the metrics that are measured when they are asked for."""
         metrics.set_lent(self._disk.lender.lent_by_tenant(time.monotonic()))
         metrics.set_zone_records(len(self._zone.disk.replica.table))
@@ -157,8 +157,8 @@
         next_expiry = time.monotonic() + EXPIRY_SECONDS
         while True:
             eventlet.sleep(UPKEEP_SECONDS)
-            self._registration.tell_retirement(self._coordinator.views())
-            self._reader.stop_unwanted()
+            self._registration.report_retirement(self._coordinator.views())
+            self._reader.stop_idle_kinds()
             self._lending.note_begun()
             if time.monotonic() > next_expiry:
                 next_expiry = time.monotonic() + EXPIRY_SECONDS
--- a/yarrowwall/machine/settings.py
+++ b/yarrowwall/machine/settings.py
@@ -105,7 +105,7 @@
         return f"{self.ip}:{self.first_peer_port}"
 
     @property
-    def takes_forwarded(self) -> bool:
+    def accepts_forwarded_requests(self) -> bool:
         """Return whether this machine forwards requests of gateways that are cut off.
 
         A replica takes its own requests at the peer address, and so may metrics be told there.
--- a/yarrowwall/platform/store.py
+++ b/yarrowwall/platform/store.py
@@ -17,11 +17,11 @@
     Change,
     Changes,
     ConflictError,
-    HistoryForgottenError,
+    HistoryExpiredError,
     Listing,
     ObjectStoreError,
     StoredObject,
-    StoreSilentError,
+    StoreTimeoutError,
     WatchInterruptedError,
 )
 
@@ -58,16 +58,16 @@
         self._watching: dict[str, _Opened] = {}
         self._interrupted: set[str] = set()
 
-    def list(self, kind: str, timeout_s: float, may_be_old: bool = False) -> Listing:
+    def list(self, kind: str, timeout_s: float, allow_stale: bool = False) -> Listing:
         """Return all objects of a kind.
 
         :param timeout_s: the longest that each page of it may take.
-        :param may_be_old: whether the list may be some seconds old, at a tenth of the price.
+        :param allow_stale: whether the list may be some seconds old, at a tenth of the price.
         """
         items: list[StoredObject] = []
         revision: int | None = None
         path = f"/objects/{kind}"
-        age = "stale=1" if may_be_old else ""
+        age = "stale=1" if allow_stale else ""
         query = age
         while True:
             target = f"{path}?{query}" if query else path
@@ -95,7 +95,7 @@
             self._watching.pop(lane, None)
             self._interrupted.discard(lane)
         if status == HTTPStatus.GONE:
-            raise HistoryForgottenError(f"{kind} since {revision}")
+            raise HistoryExpiredError(f"{kind} since {revision}")
         changes = [
             Change(read_object(event["object"]), bool(event["gone"]))
             for event in document["events"]
@@ -120,7 +120,7 @@
                 del self._idle[lane]
                 opened.connection.close()
 
-    def wait_for_contact(self, seconds: float) -> None:
+    def wait_for_recovery(self, seconds: float) -> None:
         """Pause."""
         eventlet.sleep(seconds)
 
@@ -176,7 +176,7 @@
             if connection is not None:
                 connection.close()
             is_silent = isinstance(error, AnswerTimeoutError | ConnectTimeoutError)
-            failure = StoreSilentError if is_silent else ObjectStoreError
+            failure = StoreTimeoutError if is_silent else ObjectStoreError
             raise failure(f"{method} {path}: {error}") from error
         except BaseException:
             if connection is not None:
--- a/yarrowwall/ports/object_store.py
+++ b/yarrowwall/ports/object_store.py
@@ -10,11 +10,11 @@
     """The store gave no usable answer; a change may or may not have been made."""
 
 
-class StoreSilentError(ObjectStoreError):
+class StoreTimeoutError(ObjectStoreError):
     """No answer came in time: the question may have been lost when it was sent."""
 
 
-class HistoryForgottenError(ObjectStoreError):
+class HistoryExpiredError(ObjectStoreError):
     """The store no longer knows the changes since a revision; read anew."""
 
 
@@ -52,13 +52,13 @@
 class Listing:
     """All objects of a kind as they stood at a revision.
 
-    :param proved_at_s: a moment of this machine's monotonic clock at which nothing newer had
+    :param verified_at_s: a moment of this machine's monotonic clock at which nothing newer had
         been acknowledged; None if none is known.
     """
 
     items: list[StoredObject]
     revision: int
-    proved_at_s: float | None = None
+    verified_at_s: float | None = None
 
 
 @dataclass(frozen=True)
@@ -73,12 +73,12 @@
 class Changes:
     """The changes after a revision, up to another one.
 
-    :param proved_at_s: as in :class:`Listing`, once the changes are taken in.
+    :param verified_at_s: as in :class:`Listing`, once the changes are taken in.
     """
 
     changes: list[Change]
     revision: int
-    proved_at_s: float | None = None
+    verified_at_s: float | None = None
 
 
 class ReadableStore(Protocol):
@@ -87,11 +87,11 @@
     Every method raises :class:`ObjectStoreError` if the store gives no usable answer.
     """
 
-    def list(self, kind: str, timeout_s: float, may_be_old: bool = False) -> Listing:
+    def list(self, kind: str, timeout_s: float, allow_stale: bool = False) -> Listing:
         """Return all objects of a kind.
 
         :param timeout_s: the longest that each page of it may take.
-        :param may_be_old: whether the list may be some seconds old, which costs the store less;
+        :param allow_stale: whether the list may be some seconds old, which costs the store less;
             a watch from its revision catches up.
         """
 
@@ -99,7 +99,7 @@
         """Wait for changes after a revision; none if nothing happened for a while.
 
         :param wait_s: the longest wait.
-        :raises HistoryForgottenError: if the revision is too old.
+        :raises HistoryExpiredError: if the revision is too old.
         :raises WatchInterruptedError: if :meth:`interrupt_watches` ended it.
         """
 
@@ -113,7 +113,7 @@
         :param kind: those of one kind; of all without it.
         """
 
-    def wait_for_contact(self, seconds: float) -> None:
+    def wait_for_recovery(self, seconds: float) -> None:
         """Pause; until the store answers again at the longest, if it is lost."""
 
     def get(self, kind: str, name: str, timeout_s: float) -> StoredObject | None:
--- a/yarrowwall/watching/__init__.py
+++ b/yarrowwall/watching/__init__.py
@@ -1,5 +1,6 @@
-"""Reading the platform's store for others: few machines of a zone watch it, all ask them.
+"""Store readers: a few machines per zone watch the platform store and serve its objects to others.
 
-A gateway or replica follows the store through :class:`yarrowwall.watching.store.ReaderStore`,
-which asks one of the machines that run an :class:`yarrowwall.watching.reader.ObjectReader`.
+A gateway or replica reads the store through a
+:class:`yarrowwall.watching.store_client.StoreClient`, which asks one of the machines that run a
+:class:`yarrowwall.watching.reader.StoreReader`.
 """
--- a/yarrowwall/watching/contact.py
+++ b/yarrowwall/watching/availability.py
@@ -5,7 +5,7 @@
 GRACE_SECONDS = 0.3
 
 
-class StoreContact:
+class StoreAvailability:
     """Whether a process hears from the store.
 
     A question that was lost in an outage runs into its time-out up to 3.5 s later. By then the
--- a/yarrowwall/watching/direct_watches.py
+++ b/yarrowwall/watching/direct_watches.py
@@ -4,7 +4,7 @@
 from eventlet.event import Event
 
 from yarrowwall.ports.object_store import Changes, WatchInterruptedError
-from yarrowwall.watching.contact_store import ContactStore
+from yarrowwall.watching.monitored_store import MonitoredStore
 
 
 class DirectWatches:
@@ -13,7 +13,7 @@
     :param store: the store itself.
     """
 
-    def __init__(self, store: ContactStore) -> None:
+    def __init__(self, store: MonitoredStore) -> None:
         self._store = store
         self._open: dict[Event, None] = {}
 
--- a/yarrowwall/watching/follower.py
+++ b/yarrowwall/watching/follower.py
@@ -11,7 +11,7 @@
 from yarrowwall.hashing import fraction
 from yarrowwall.ports.object_store import (
     Change,
-    HistoryForgottenError,
+    HistoryExpiredError,
     ObjectStoreError,
     ReadableStore,
     StoredObject,
@@ -20,14 +20,14 @@
 
 #: Seconds before a failed read is tried again, doubled up to the most.
 RETRY_SECONDS = 0.15
-MOST_RETRY_SECONDS = 1.0
+MAX_RETRY_SECONDS = 1.0
 #: The same until the first list, without which the process is of no use.
-MOST_FIRST_RETRY_SECONDS = 0.3
+MAX_FIRST_RETRY_SECONDS = 0.3
 #: Seconds that a list may take, doubled up to the most after each that was not answered. A
 #: call that was lost in an outage is never answered, so the first are short; a slow store
 #: (0.4 s an answer was seen) is reached by the later ones.
 LIST_SECONDS = 0.3
-MOST_LIST_SECONDS = 2.4
+MAX_LIST_SECONDS = 2.4
 #: Seconds between the changes of a kind of which many come together and the next question
 #: for more, so that they are coalesced: each question is a call that is paid for.
 COALESCE_SECONDS = 0.4
@@ -47,12 +47,12 @@
     :param on_list: called with all objects after each list.
     :param on_change: called with each change after that.
     :param on_read: called with the revision after each list and each answer to a watch.
-    :param on_proved: called after those with the moment of the monotonic clock, if one is
+    :param on_verified: called after those with the moment of the monotonic clock, if one is
         known, at which nothing newer had been acknowledged.
     :param pause_s: seconds to wait after changes before the next ones are asked for.
     :param watch_s: the longest that one watch waits.
-    :param most_retry_s: the longest pause before a failed read is tried again.
-    :param may_be_old: whether lists may be some seconds old.
+    :param max_retry_s: the longest pause before a failed read is tried again.
+    :param allow_stale: whether lists may be some seconds old.
     :ivar has_listed: whether the objects were listed once.
     """
 
@@ -66,9 +66,9 @@
         on_read: Callable[[int], None] = lambda revision: None,
         pause_s: float = 0.0,
         watch_s: float = WATCH_SECONDS,
-        most_retry_s: float = MOST_RETRY_SECONDS,
-        may_be_old: bool = False,
-        on_proved: Callable[[float], None] = lambda proved_at_s: None,
+        max_retry_s: float = MAX_RETRY_SECONDS,
+        allow_stale: bool = False,
+        on_verified: Callable[[float], None] = lambda verified_at_s: None,
     ) -> None:
         self._store = store
         self._kind = kind
@@ -78,9 +78,9 @@
         self._on_read = on_read
         self._pause_s = pause_s
         self._watch_s = watch_s
-        self._most_retry_s = most_retry_s
-        self._may_be_old = may_be_old
-        self._on_proved = on_proved
+        self._max_retry_s = max_retry_s
+        self._allow_stale = allow_stale
+        self._on_proved = on_verified
         self._running: Any = None
         self._is_cautious = False
         self._must_list = False
@@ -96,11 +96,11 @@
         if self._running is not None:
             self._running.kill()
 
-    def be_cautious(self) -> None:
+    def shorten_next_watch(self) -> None:
         """Let the next watch wait shortly, for the store may be dropping its history."""
         self._is_cautious = True
 
-    def list_anew(self) -> None:
+    def relist(self) -> None:
         """Trust the watch no more: it told nothing of a change that is known to have been."""
         self._must_list = True
         self._store.interrupt_watches(kind=self._kind)
@@ -114,7 +114,7 @@
             try:
                 revision = self._list() if revision is None else self._watch(revision)
                 self._note_up()
-            except HistoryForgottenError:
+            except HistoryExpiredError:
                 revision = None
             except WatchInterruptedError:
                 # The history still has what a watch missed that was lost meanwhile.
@@ -125,7 +125,7 @@
                 # still has; only a forgotten history needs a list.
                 self._is_cautious = True
                 self._note_down(error)
-                self._store.wait_for_contact(self._retry_pause_s())
+                self._store.wait_for_recovery(self._retry_pause_s())
             except (AttributeError, LookupError, RecursionError, TypeError, ValueError) as error:
                 # An object that cannot be read must not end the following of all others.
                 revision = None
@@ -133,13 +133,13 @@
                 eventlet.sleep(self._retry_pause_s())
 
     def _list(self) -> int:
-        timeout_s = doubled_s(LIST_SECONDS, MOST_LIST_SECONDS, self._failures)
-        listing = self._store.list(self._kind, timeout_s, self._may_be_old)
+        timeout_s = doubled_s(LIST_SECONDS, MAX_LIST_SECONDS, self._failures)
+        listing = self._store.list(self._kind, timeout_s, self._allow_stale)
         self._on_list(listing.items)
         self.has_listed = True
         self._on_read(listing.revision)
-        if listing.proved_at_s is not None:
-            self._on_proved(listing.proved_at_s)
+        if listing.verified_at_s is not None:
+            self._on_proved(listing.verified_at_s)
         return listing.revision
 
     def _watch(self, revision: int) -> int:
@@ -149,14 +149,14 @@
         for change in found.changes:
             self._on_change(change)
         self._on_read(found.revision)
-        if found.proved_at_s is not None:
-            self._on_proved(found.proved_at_s)
+        if found.verified_at_s is not None:
+            self._on_proved(found.verified_at_s)
         if found.changes:
             eventlet.sleep(self._pause_s)
         return found.revision
 
     def _retry_pause_s(self) -> float:
-        most_s = self._most_retry_s if self.has_listed else MOST_FIRST_RETRY_SECONDS
+        most_s = self._max_retry_s if self.has_listed else MAX_FIRST_RETRY_SECONDS
         pause = doubled_s(RETRY_SECONDS, most_s, self._failures - 1)
         spread = 0.75 + 0.5 * fraction(self._kind, str(self._failures))
         return pause * spread
--- a/yarrowwall/watching/freshness_probe.py
+++ b/yarrowwall/watching/freshness_probe.py
@@ -18,7 +18,7 @@
 )
 
 #: Seconds between looks at the age.
-LOOK_SECONDS = 0.25
+AGE_CHECK_SECONDS = 0.25
 #: Seconds that an answer may take.
 ANSWER_SECONDS = 0.8
 #: Seconds between own questions, doubled up to the most while none is answered: in an outage
@@ -26,7 +26,7 @@
 #: wait, for they may have been lost: so a gateway that no reader tells anything knows of a
 #: store that is back 1.6 s later at most, not after a time-out and a look more (2.9 s).
 PAUSE_SECONDS = 0.4
-MOST_PAUSE_SECONDS = 1.6
+MAX_PAUSE_SECONDS = 1.6
 
 
 class FreshnessProbe:
@@ -55,7 +55,7 @@
         self._unanswered = 0
         self._is_known_down = False
         # All gateways lose their readers at the same moment.
-        self._own_look_s = LOOK_SECONDS * (1.0 + fraction("probe", node_id))
+        self._own_look_s = AGE_CHECK_SECONDS * (1.0 + fraction("probe", node_id))
 
     def start(self) -> None:
         """Begin to look at the age."""
@@ -67,7 +67,7 @@
             while self._freshness.is_worth_asking(self._now()):
                 self._unanswered += 1
                 eventlet.spawn_n(self._ask)
-                pause_s = doubled_s(PAUSE_SECONDS, MOST_PAUSE_SECONDS, self._unanswered - 1)
+                pause_s = doubled_s(PAUSE_SECONDS, MAX_PAUSE_SECONDS, self._unanswered - 1)
                 eventlet.sleep(pause_s)
 
     def _ask(self) -> None:
--- a/yarrowwall/watching/contact_store.py
+++ b/yarrowwall/watching/monitored_store.py
@@ -8,18 +8,18 @@
 from yarrowwall.ports.object_store import (
     Changes,
     ConflictError,
-    HistoryForgottenError,
+    HistoryExpiredError,
     Listing,
     ObjectStoreError,
     ReadableStore,
     StoredObject,
-    StoreSilentError,
+    StoreTimeoutError,
     WatchInterruptedError,
 )
-from yarrowwall.watching.contact import StoreContact
+from yarrowwall.watching.availability import StoreAvailability
 
 
-class ContactStore:
+class MonitoredStore:
     """Reads the store, and knows whether it answers.
 
     :param direct: the store itself.
@@ -39,7 +39,7 @@
         self._now = now
         self._on_lost = on_lost
         self._on_back = on_back
-        self._contact = StoreContact()
+        self._contact = StoreAvailability()
         self._back = Event()
 
     @property
@@ -47,7 +47,7 @@
         """Return whether the store has been lost for more than a moment."""
         return self._contact.is_out(self._now())
 
-    def wait_for_contact(self, seconds: float) -> None:
+    def wait_for_recovery(self, seconds: float) -> None:
         """Pause; until the store answers again at the longest, if it is lost."""
         self._back.wait(seconds)
 
@@ -62,10 +62,10 @@
             yield
         except WatchInterruptedError:
             raise
-        except (HistoryForgottenError, ConflictError):
+        except (HistoryExpiredError, ConflictError):
             self._note_answered(sent_at_s)
             raise
-        except StoreSilentError as error:
+        except StoreTimeoutError as error:
             self._note_silence(sent_at_s, error)
             raise
         except ObjectStoreError:
@@ -81,7 +81,7 @@
         back.send()
         self._on_back()
 
-    def _note_silence(self, sent_at_s: float, error: StoreSilentError) -> None:
+    def _note_silence(self, sent_at_s: float, error: StoreTimeoutError) -> None:
         # Connections may fall silent for good while new ones work.
         self._end_doubted(sent_at_s)
         if self._contact.is_overtaken(sent_at_s):
@@ -98,10 +98,10 @@
 
     # The store's own
 
-    def list(self, kind: str, timeout_s: float, may_be_old: bool = False) -> Listing:
+    def list(self, kind: str, timeout_s: float, allow_stale: bool = False) -> Listing:
         """Return all objects of a kind."""
         with self._asking():
-            return self._direct.list(kind, timeout_s, may_be_old)
+            return self._direct.list(kind, timeout_s, allow_stale)
 
     def watch(self, kind: str, revision: int, wait_s: float) -> Changes:
         """Wait for changes after a revision; none if nothing happened for a while."""
--- a/yarrowwall/watching/picture.py
+++ b/yarrowwall/watching/object_cache.py
@@ -8,7 +8,7 @@
 
 #: Batches of changes that are remembered. The kinds that change often do so about twice a
 #: second (the pause between two questions is 0.4 s), so this is some twenty seconds.
-MOST_BATCHES = 64
+MAX_BATCHES = 64
 
 
 class Batch(NamedTuple):
@@ -21,7 +21,7 @@
     revision: int
 
 
-class KindPicture:
+class ObjectCache:
     """All objects of a kind, and the latest changes of them.
 
     :ivar oldest_revision: the revision since which every change is remembered.
@@ -49,7 +49,7 @@
                 self._items[change.item.name] = change.item
         if changes:
             self._batches.append(Batch(changes, revision))
-        if len(self._batches) > MOST_BATCHES:
+        if len(self._batches) > MAX_BATCHES:
             self.oldest_revision = self._batches.popleft().revision
         self.revision = max(self.revision, revision)
 
--- a/yarrowwall/watching/prover.py
+++ b/yarrowwall/watching/object_verifier.py
@@ -14,32 +14,32 @@
     ReadableStore,
     WatchInterruptedError,
 )
-from yarrowwall.watching.proof import StateProof
+from yarrowwall.watching.verified_state import VerifiedState
 
 #: Seconds from one question to the next. Each answer is passed on at once to all who wait for
 #: a change (a question of theirs waits 1 s), so what they know is proved about 0.9 s ago at most
 #: while all is well. Asking more often costs calls and refuses no fewer callers for age.
-PROOF_SECONDS = 0.9
+VERIFY_SECONDS = 0.9
 #: Seconds that an answer may take: several times what a slow store takes.
 ANSWER_SECONDS = 1.0
 #: Seconds without an answer after which the next question is sent beside those that wait. The
 #: first one that comes back ends an outage for a whole zone, so no time-out is waited for; it is
 #: half of the time in which callers' tries are to find a proof again.
-AGAIN_SECONDS = 0.15
+RESEND_SECONDS = 0.15
 #: Seconds within which a watch has to tell of a change that an answer has shown. It is told at
 #: the moment of the change, so a watch that says nothing by then is lost: waiting for its end
 #: would take 3.5 s, and a configuration has 2 s to be in force everywhere.
-BEHIND_SECONDS = 0.1
+WATCH_LAG_SECONDS = 0.1
 #: Questions without an answer, one after the other, after which the log says so.
 LOST_ANSWERS = 2
 
 
-class ObjectProver:
+class ObjectVerifier:
     """Keeps the proof of one object's state.
 
     :param now: the monotonic clock.
-    :param on_proved: called once a newer moment is proved.
-    :param on_behind: called if the watches do not tell soon of what was just read.
+    :param on_verified: called once a newer moment is proved.
+    :param on_stale: called if the watches do not tell soon of what was just read.
     """
 
     def __init__(
@@ -48,19 +48,19 @@
         target: ObjectName,
         log: DecisionLog,
         now: Callable[[], float],
-        on_proved: Callable[[], None],
-        on_behind: Callable[[], None],
+        on_verified: Callable[[], None],
+        on_stale: Callable[[], None],
     ) -> None:
         self._store = store
         self.target = target
         self._log = log
         self._now = now
-        self._on_proved = on_proved
-        self._on_behind = on_behind
+        self._on_proved = on_verified
+        self._on_stale = on_stale
         self._failures = 0
         self._running: Any = None
         self._next = Event()
-        self.proof = StateProof()
+        self.state = VerifiedState()
 
     def start(self) -> None:
         """Begin to ask."""
@@ -78,14 +78,14 @@
 
     def _run(self) -> None:
         while True:
-            next_s = self._now() + PROOF_SECONDS
+            next_s = self._now() + VERIFY_SECONDS
             answered = Event()
             eventlet.spawn_n(self._ask, answered)
-            answered.wait(AGAIN_SECONDS)
+            answered.wait(RESEND_SECONDS)
             if answered.ready() and not self._failures:
                 self._next.wait(max(next_s - self._now(), 0.0))
             elif answered.ready():
-                eventlet.sleep(AGAIN_SECONDS)
+                eventlet.sleep(RESEND_SECONDS)
             self._next = Event()
 
     def _ask(self, answered: Event) -> None:
@@ -104,17 +104,17 @@
             self._note_failed(error)
             return
         self._note_answered()
-        self.proof.note_answer(item.revision if item is not None else 0, sent_at_s)
-        if self.proof.is_behind:
+        self.state.note_answer(item.revision if item is not None else 0, sent_at_s)
+        if self.state.is_stale:
             self._expect_change()
         else:
             self._on_proved()
 
     def _expect_change(self) -> None:
         """Let the watches be given up unless they tell soon of what was just read."""
-        eventlet.sleep(BEHIND_SECONDS)
-        if self.proof.is_behind:
-            self._on_behind()
+        eventlet.sleep(WATCH_LAG_SECONDS)
+        if self.state.is_stale:
+            self._on_stale()
 
     def _note_answered(self) -> None:
         if self._failures >= LOST_ANSWERS:
--- a/yarrowwall/watching/reader.py
+++ b/yarrowwall/watching/reader.py
@@ -1,7 +1,7 @@
 """Follows kinds of the platform's store for other machines, as long as they ask.
 
 Nobody is chosen for this: all machines of a zone ask the same ones in the same order
-(:mod:`yarrowwall.watching.order`), and a machine that is asked begins to follow.
+(:mod:`yarrowwall.watching.reader_selection`), and a machine that is asked begins to follow.
 """
 
 from collections.abc import Callable
@@ -18,11 +18,11 @@
     WatchObjects,
 )
 from yarrowwall.ports.object_store import Change, ObjectName, ReadableStore, StoredObject
-from yarrowwall.watching.contact import GRACE_SECONDS
-from yarrowwall.watching.contact_store import ContactStore
+from yarrowwall.watching.availability import GRACE_SECONDS
 from yarrowwall.watching.follower import COALESCE_SECONDS, LONG_WATCH_SECONDS, KindFollower
-from yarrowwall.watching.picture import KindPicture
-from yarrowwall.watching.prover import ObjectProver
+from yarrowwall.watching.monitored_store import MonitoredStore
+from yarrowwall.watching.object_cache import ObjectCache
+from yarrowwall.watching.object_verifier import ObjectVerifier
 from yarrowwall.watching.wire import ObjectEncoder
 
 #: Seconds for which a question waits for the reader's own first list. A list takes 0.01 s if
@@ -31,12 +31,12 @@
 #: Seconds that a watch of the prompt kind waits. Watches can be lost while all else is answered;
 #: then they say nothing until their waits are over. The short one tells for the others, whose
 #: waits are 25 s, after 3.5 s.
-PROMPT_WATCH_SECONDS = 2.0
+SHORT_WATCH_SECONDS = 2.0
 #: Seconds without a question after which a kind is no longer followed.
 IDLE_SECONDS = 8.0
 #: Seconds before a failed read of the store is tried again at most, if nothing shows before
 #: that it answers: one question in an outage finds that out for all kinds.
-MOST_RETRY_SECONDS = 2.0
+MAX_RETRY_SECONDS = 2.0
 
 _OUT_OF_CONTACT = ObjectsReply(ObjectsStatus.OUT_OF_CONTACT, [], 0, None)
 _FORGOTTEN = ObjectsReply(ObjectsStatus.FORGOTTEN, [], 0, None)
@@ -66,7 +66,7 @@
     :param watch_s: the longest that one watch at the store waits.
     :param pause_s: seconds after changes before the next ones are asked for.
     :param is_out: returns whether the store has not answered for more than a moment.
-    :param proved: name of an object of which answers say until when its state was the newest.
+    :param verified_name: name of the object whose state is verified to be the newest.
     """
 
     def __init__(
@@ -78,11 +78,11 @@
         log: DecisionLog,
         now: Callable[[], float],
         is_out: Callable[[], bool],
-        proved: str | None = None,
+        verified_name: str | None = None,
     ) -> None:
         self._now = now
         self._is_out = is_out
-        self._picture = KindPicture()
+        self._cache = ObjectCache()
         self._encoder = ObjectEncoder()
         self._listed: list[StoredObject] | None = None
         self._changed: list[Change] = []
@@ -97,37 +97,37 @@
             self._take_read,
             pause_s=pause_s,
             watch_s=watch_s,
-            most_retry_s=MOST_RETRY_SECONDS,
+            max_retry_s=MAX_RETRY_SECONDS,
         )
         self._follower.start()
-        self._prover: ObjectProver | None = None
-        if proved is not None:
-            target = ObjectName(kind, proved)
-            self._prover = ObjectProver(
-                store, target, log, now, self._tell_proof, self._follower.list_anew
+        self._verifier: ObjectVerifier | None = None
+        if verified_name is not None:
+            target = ObjectName(kind, verified_name)
+            self._verifier = ObjectVerifier(
+                store, target, log, now, self._note_verified, self._follower.relist
             )
-            self._prover.start()
+            self._verifier.start()
 
     @property
-    def is_wanted(self) -> bool:
+    def is_in_use(self) -> bool:
         """Return whether somebody waits for it or asked lately."""
         return bool(self._waiting) or self._now() - self.asked_at < IDLE_SECONDS
 
     def stop(self) -> None:
         """Follow no more."""
         self._follower.stop()
-        if self._prover is not None:
-            self._prover.stop()
+        if self._verifier is not None:
+            self._verifier.stop()
 
     def note_lost(self) -> None:
         """Find out soon whether the store answers: it did not answer a question."""
-        self._follower.be_cautious()
-        if self._prover is not None:
-            self._prover.ask_soon()
+        self._follower.shorten_next_watch()
+        if self._verifier is not None:
+            self._verifier.ask_soon()
 
     def note_out(self) -> None:
         """Let whoever waits find a reader that still hears of changes."""
-        if self._picture.revision:
+        if self._cache.revision:
             self._answer_waiting()
 
     def ask(self, request: ListObjects | WatchObjects, reply: Reply) -> None:
@@ -142,7 +142,7 @@
         question.timer = eventlet.spawn_after(self._wait_s(request), self._end_wait, question)
 
     def _wait_s(self, request: ListObjects | WatchObjects) -> float:
-        if not self._picture.revision or isinstance(request, ListObjects):
+        if not self._cache.revision or isinstance(request, ListObjects):
             return FIRST_LIST_SECONDS
         return request.wait_s
 
@@ -152,36 +152,38 @@
         :param is_over: whether it waits no longer.
         """
         request = question.request
-        if not self._picture.revision:
+        if not self._cache.revision:
             return _OUT_OF_CONTACT if is_over else None
         if self._is_out():
             return None if _is_kept(request) and not is_over else _OUT_OF_CONTACT
         if isinstance(request, ListObjects):
             return self._list(request, question, is_over)
-        found = self._picture.changes_since(request.revision)
+        found = self._cache.changes_since(request.revision)
         if found is None:
             return _FORGOTTEN
         is_waiting = request.wait_s > 0.0 and not request.is_look
         if not found.changes and is_waiting and not is_over:
             return None
-        objects = [self._encoder.relayed_change(change) for change in found.changes]
+        objects = [self._encoder.encode_change(change) for change in found.changes]
         return self._reply(question, objects, found.revision)
 
     def _reply(
         self, question: _Question, objects: list[RelayedObject], revision: int
     ) -> ObjectsReply:
         """Return objects, with the moment for which their state is proved."""
-        proved_at_s = self._prover.proof.proved_at_s if self._prover is not None else None
-        proved_after_s = proved_at_s - question.arrived_at_s if proved_at_s is not None else None
+        verified_at_s = self._verifier.state.verified_at_s if self._verifier is not None else None
+        proved_after_s = (
+            verified_at_s - question.arrived_at_s if verified_at_s is not None else None
+        )
         return ObjectsReply(ObjectsStatus.OK, objects, revision, proved_after_s)
 
     def _list(
         self, request: ListObjects, question: _Question, is_over: bool
     ) -> ObjectsReply | None:
-        listing = self._picture.listing()
+        listing = self._cache.listing()
         if listing.revision < request.least_revision:
             return _OUT_OF_CONTACT if is_over else None
-        objects = [self._encoder.relayed(item) for item in listing.items]
+        objects = [self._encoder.encode(item) for item in listing.items]
         return self._reply(question, objects, listing.revision)
 
     def _end_wait(self, question: _Question) -> None:
@@ -200,18 +202,18 @@
     def _take_read(self, revision: int) -> None:
         """Take in all that one answer of the store brought."""
         if self._listed is not None:
-            self._picture.replace_all(self._listed, revision)
+            self._cache.replace_all(self._listed, revision)
             self._listed = None
-        self._picture.take(list(self._changed), revision)
+        self._cache.take(list(self._changed), revision)
         self._changed.clear()
-        if self._prover is not None:
-            name = self._prover.target.name
-            self._prover.proof.note_known(self._picture.revision_of(name))
+        if self._verifier is not None:
+            name = self._verifier.target.name
+            self._verifier.state.note_known(self._cache.revision_of(name))
         self._answer_waiting()
 
-    def _tell_proof(self) -> None:
+    def _note_verified(self) -> None:
         """Let all who wait know that what they have was the newest a moment ago."""
-        if self._picture.revision:
+        if self._cache.revision:
             self._answer_waiting(is_over=True)
 
     def _answer_waiting(self, is_over: bool = False) -> None:
@@ -228,33 +230,32 @@
     return isinstance(request, WatchObjects) and request.is_look and request.wait_s > 0.0
 
 
-class ObjectReader:
+class StoreReader:
     """Answers other machines' questions about the store's objects.
 
     :param store: the store, for this reader alone.
-    :param prompt: an object whose kind is watched only shortly at a time, and which is asked
-        for besides. Its kind is followed as long as any other is, for a watch that was lost
-        says nothing until its wait is over; what a short one or a question finds out lets
-        all others begin anew.
+    :param verified_object: an object that is read again and again, and whose kind is watched with
+        short waits. Its kind is followed as long as any other is: a lost watch returns nothing
+        until its wait is over, so a failed short watch or read makes all watches start again.
     :param now: the monotonic clock.
     """
 
     def __init__(
         self,
         store: ReadableStore,
-        prompt: ObjectName,
+        verified_object: ObjectName,
         log: DecisionLog,
         now: Callable[[], float],
     ) -> None:
-        self._store = ContactStore(store, now, self._note_lost)
-        self._prompt = prompt
+        self._store = MonitoredStore(store, now, self._note_lost)
+        self._verified_object = verified_object
         self._log = log
         self._now = now
         self._kinds: dict[str, FollowedKind] = {}
 
     def ask(self, request: ListObjects | WatchObjects, reply: Reply) -> None:
         """Answer a question at once or later."""
-        self._follow(self._prompt.kind)
+        self._follow(self._verified_object.kind)
         self._follow(request.kind).ask(request, reply)
 
     def _follow(self, kind: str) -> FollowedKind:
@@ -262,16 +263,16 @@
         followed = self._kinds.get(kind)
         if followed is None:
             # Each change of the prompt kind is asked for at once; it changes seldom.
-            is_prompt = kind == self._prompt.kind
+            is_verified = kind == self._verified_object.kind
             followed = FollowedKind(
                 self._store,
                 kind,
-                PROMPT_WATCH_SECONDS if is_prompt else LONG_WATCH_SECONDS,
-                0.0 if is_prompt else COALESCE_SECONDS,
+                SHORT_WATCH_SECONDS if is_verified else LONG_WATCH_SECONDS,
+                0.0 if is_verified else COALESCE_SECONDS,
                 self._log,
                 self._now,
                 lambda: self._store.is_out,
-                self._prompt.name if is_prompt else None,
+                self._verified_object.name if is_verified else None,
             )
             self._kinds[kind] = followed
         return followed
@@ -286,10 +287,10 @@
             for followed in list(self._kinds.values()):
                 followed.note_out()
 
-    def stop_unwanted(self) -> None:
+    def stop_idle_kinds(self) -> None:
         """Follow no more what nobody asked for lately."""
         for kind, followed in list(self._kinds.items()):
-            is_needed = kind == self._prompt.kind and len(self._kinds) > 1
-            if not followed.is_wanted and not is_needed:
+            is_needed = kind == self._verified_object.kind and len(self._kinds) > 1
+            if not followed.is_in_use and not is_needed:
                 followed.stop()
                 del self._kinds[kind]
--- a/yarrowwall/watching/order.py
+++ b/yarrowwall/watching/reader_selection.py
@@ -9,16 +9,16 @@
 #: Readers of the own zone that are asked before those of other zones.
 OWN_ZONE_READERS = 2
 #: Readers that are asked for one answer at most.
-MOST_READERS = 4
+MAX_READERS = 4
 #: Seconds for which a reader that did not answer is passed over, doubled up to the most.
-PASS_OVER_SECONDS = 1.0
-MOST_PASS_OVER_SECONDS = 16.0
+SKIP_SECONDS = 1.0
+MAX_SKIP_SECONDS = 16.0
 #: The same for one that answers but hears nothing from the store itself. It is asked again at
 #: each look (0.25 s), for all of its zone wait until it hears of the store.
 OUT_OF_CONTACT_SECONDS = 0.2
 
 
-class ReaderOrder:
+class ReaderSelection:
     """The machines that may read the store for this one.
 
     All machines of a zone agree on the first, so that few machines read the store.
@@ -33,9 +33,9 @@
         self._failures: dict[str, int] = {}
         self._passed_over_until: dict[str, float] = {}
 
-    def beside(self) -> "ReaderOrder":
+    def with_separate_failures(self) -> "ReaderSelection":
         """Return an order of the same readers with failures of its own: those on another way."""
-        other = ReaderOrder(self._node_id, self._zone)
+        other = ReaderSelection(self._node_id, self._zone)
         other._readers = self._readers
         return other
 
@@ -72,25 +72,25 @@
         near = by_zone.pop(self._zone, [])[:OWN_ZONE_READERS]
         # Those of a zone without a reader are spread over the others.
         far = sorted(by_zone, key=lambda zone: fraction(self._node_id, zone))
-        return (near + [by_zone[zone][0] for zone in far])[:MOST_READERS]
+        return (near + [by_zone[zone][0] for zone in far])[:MAX_READERS]
 
     def note_answered(self, node_id: str) -> None:
         """Note that a reader answered: it is passed over no more."""
         self._failures.pop(node_id, None)
         self._passed_over_until.pop(node_id, None)
 
-    def note_silent(self, node_id: str, now_s: float) -> None:
+    def note_no_answer(self, node_id: str, now_s: float) -> None:
         """Pass over a reader that did not answer."""
         failures = self._failures.get(node_id, 0)
         self._failures[node_id] = failures + 1
-        pause_s = doubled_s(PASS_OVER_SECONDS, MOST_PASS_OVER_SECONDS, failures)
+        pause_s = doubled_s(SKIP_SECONDS, MAX_SKIP_SECONDS, failures)
         self._passed_over_until[node_id] = now_s + pause_s
 
-    def note_answered_elsewhere(self, node_id: str, now_s: float) -> None:
+    def note_answered_relayed(self, node_id: str, now_s: float) -> None:
         """Note that a reader answers on another way: only the path is lost, and may be back."""
         self._failures.pop(node_id, None)
         until_s = self._passed_over_until.get(node_id, 0.0)
-        self._passed_over_until[node_id] = min(until_s, now_s + PASS_OVER_SECONDS)
+        self._passed_over_until[node_id] = min(until_s, now_s + SKIP_SECONDS)
 
     def note_out_of_contact(self, node_id: str, now_s: float) -> None:
         """Pass over a reader that gets no answers from the store."""
--- a/yarrowwall/watching/store.py
+++ b/yarrowwall/watching/store_client.py
@@ -24,7 +24,7 @@
 from yarrowwall.ports.object_store import (
     Change,
     Changes,
-    HistoryForgottenError,
+    HistoryExpiredError,
     Listing,
     ObjectStore,
     ObjectStoreError,
@@ -33,18 +33,18 @@
 )
 from yarrowwall.replication.documents import REPLICAS_KIND, read_registration
 from yarrowwall.replication.rpc import LinkTable
-from yarrowwall.watching.contact_store import ContactStore
-from yarrowwall.watching.detour import PAUSE_SECONDS, PROMPT_PAUSE_SECONDS, ReaderDetour
 from yarrowwall.watching.direct_watches import DirectWatches
 from yarrowwall.watching.follower import KindFollower
-from yarrowwall.watching.order import ReaderOrder
-from yarrowwall.watching.reader import FIRST_LIST_SECONDS, ObjectReader
-from yarrowwall.watching.replies import is_out_of_contact, told_changes, told_listing
+from yarrowwall.watching.monitored_store import MonitoredStore
+from yarrowwall.watching.reader import FIRST_LIST_SECONDS, StoreReader
+from yarrowwall.watching.reader_selection import ReaderSelection
+from yarrowwall.watching.relayed_reads import PAUSE_SECONDS, SHORT_PAUSE_SECONDS, RelayedReads
+from yarrowwall.watching.replies import changes_from_reply, is_out_of_contact, listing_from_reply
 
 #: Seconds that a question waits for a change of a kind by which silent readers are found, and
 #: of any other: so long may a machine stay with another reader once the first is back.
-PROMPT_WAIT_SECONDS = 1.0
-MOST_WAIT_SECONDS = 5.0
+SHORT_WAIT_SECONDS = 1.0
+MAX_WAIT_SECONDS = 5.0
 #: Seconds that the answer to a question may take beyond its wait.
 ANSWER_SECONDS = 0.5
 #: Seconds for the first answer of a reader, which may have to list the objects itself.
@@ -61,35 +61,35 @@
 DIRECT_PAUSE_SECONDS = 0.8
 #: The same after a question for a single object: whoever asks for one goes on asking, every 1.6 s
 #: at most, and tells all others by the first answer.
-PROBED_PAUSE_SECONDS = 2.0
+DIRECT_GET_PAUSE_SECONDS = 2.0
 #: Seconds from the start in which readers may register, and between two looks for them.
 FIRST_READERS_SECONDS = 3.0
-LOOK_SECONDS = 0.25
+HEALTH_CHECK_SECONDS = 0.25
 #: The same while a reader is relied on: a better one that was passed over may be back.
-CALM_LOOK_SECONDS = 1.0
+HEALTHY_CHECK_SECONDS = 1.0
 #: Seconds of a pause after a failed read if a reader was found meanwhile.
 FOUND_SECONDS = 0.25
 #: Seconds for which a reader out of contact keeps the question of a machine that looks for one: it
 #: tells of the store's return at once. One that dies meanwhile is found as soon after.
-KEPT_SECONDS = 0.5
+HELD_CHECK_SECONDS = 0.5
 #: Readers that are asked at each look: the first of the own zone and the next one.
-READERS_LOOKED_FOR = 2
+READERS_CHECKED = 2
 
 #: Stands for the answer to a question that this process ended itself.
 _INTERRUPTED = object()
 
 
-class ReaderStore:
+class StoreClient:
     """Reads through a reader, changes directly.
 
     Readers are asked directly; through neighbours while none answers; then the store itself.
 
     :param direct: the store itself.
     :param own_reader: the reader of this process, if it has one.
-    :param prompt_kinds: kinds whose questions wait only shortly, so that a reader that has
+    :param short_wait_kinds: kinds whose questions wait only shortly, so that a reader that has
         fallen silent is found by them; readers are looked for with the first.
     :param now: the monotonic clock.
-    :ivar detour: the way through neighbours.
+    :ivar relayed_reads: the way through neighbours.
     """
 
     def __init__(
@@ -97,23 +97,23 @@
         node_id: str,
         zone: str,
         direct: ObjectStore,
-        own_reader: ObjectReader | None,
-        prompt_kinds: Collection[str],
+        own_reader: StoreReader | None,
+        short_wait_kinds: Collection[str],
         log: DecisionLog,
         now: Callable[[], float],
     ) -> None:
         self._node_id = node_id
         self._store = direct
-        self._direct = ContactStore(direct, now, on_back=self._note_back)
+        self._direct = MonitoredStore(direct, now, on_back=self._note_back)
         self._own_reader = own_reader
-        self._prompt_kinds = prompt_kinds
-        self._look_kind = next(iter(prompt_kinds), REPLICAS_KIND)
+        self._prompt_kinds = short_wait_kinds
+        self._look_kind = next(iter(short_wait_kinds), REPLICAS_KIND)
         self._log = log
         self._now = now
         self._started_at = now()
         self._links = LinkTable(log, now)
-        self._order = ReaderOrder(node_id, zone)
-        self.detour = ReaderDetour(self._order, log, now)
+        self._order = ReaderSelection(node_id, zone)
+        self.relayed_reads = RelayedReads(self._order, log, now)
         self._relayed_at: dict[str, float] = {}
         self._proven: set[str] = set()
         self._looking: set[str] = set()
@@ -134,7 +134,7 @@
             self._readers_listed,
             self._reader_changed,
             log,
-            may_be_old=True,
+            allow_stale=True,
         )
 
     def start(self) -> None:
@@ -144,7 +144,7 @@
 
     # Reading
 
-    def list(self, kind: str, timeout_s: float, may_be_old: bool = False) -> Listing:
+    def list(self, kind: str, timeout_s: float, allow_stale: bool = False) -> Listing:
         """Return all objects of a kind.
 
         Never an older state than before, but while no reader is known yet: then the list may
@@ -154,17 +154,17 @@
         listing = self._list_at_readers(kind, known) if known else None
         if listing is None:
             is_start = not known or not self._order.is_known
-            listing = self._list_directly(kind, timeout_s, may_be_old and is_start)
+            listing = self._list_directly(kind, timeout_s, allow_stale and is_start)
         self._revisions[kind] = max(known, listing.revision)
         return listing
 
-    def _list_directly(self, kind: str, timeout_s: float, may_be_old: bool) -> Listing:
+    def _list_directly(self, kind: str, timeout_s: float, allow_stale: bool) -> Listing:
         sent_at_s = self._now()
         # A machine that has just started is of no use before its first lists.
         is_first = kind not in self._revisions
         with contextlib.nullcontext() if is_first else self._asking_directly():
-            listing = self._direct.list(kind, timeout_s, may_be_old)
-        if may_be_old:
+            listing = self._direct.list(kind, timeout_s, allow_stale)
+        if allow_stale:
             return listing
         return Listing(listing.items, listing.revision, sent_at_s)
 
@@ -173,20 +173,20 @@
             sent_at_s = self._now()
             reply = self._ask(reader, ListObjects(kind, known), FIRST_ANSWER_SECONDS)
             if reply is not None and reply.status is ObjectsStatus.OK:
-                return told_listing(reply, sent_at_s)
+                return listing_from_reply(reply, sent_at_s)
         return self._list_through_neighbours(kind, known)
 
     def _list_through_neighbours(self, kind: str, known: int) -> Listing | None:
         """Return what a reader out of reach listed; None if none is of use now."""
-        if not self.detour.is_open:
+        if not self.relayed_reads.is_active:
             return None
         # Counted from before the first neighbour is asked: however long the answer takes, the
         # question arrived later.
         sent_at_s = self._now()
-        reply = self.detour.ask(ListObjects(kind, known))
+        reply = self.relayed_reads.ask(ListObjects(kind, known))
         if reply is None or reply.status is not ObjectsStatus.OK:
             return None
-        return told_listing(reply, sent_at_s)
+        return listing_from_reply(reply, sent_at_s)
 
     def watch(self, kind: str, revision: int, wait_s: float) -> Changes:
         """Wait for changes after a revision; none if nothing happened for a while."""
@@ -213,20 +213,20 @@
 
     def _watch_through_neighbours(self, kind: str, revision: int) -> Changes | None:
         """Return the changes that a reader out of reach told; None if none is of use now."""
-        if self.detour.is_open:
+        if self.relayed_reads.is_active:
             self._pause_detour(kind)
-        if not self.detour.is_open:
+        if not self.relayed_reads.is_active:
             return None
         sent_at_s = self._relayed_at[kind] = self._now()
-        reply = self.detour.ask(WatchObjects(kind, revision, 0.0))
+        reply = self.relayed_reads.ask(WatchObjects(kind, revision, 0.0))
         if reply is None:
             return None
         self._answered_at = self._now()
-        return self._noted(kind, told_changes(reply, sent_at_s, "through a neighbour"))
+        return self._noted(kind, changes_from_reply(reply, sent_at_s, "through a neighbour"))
 
     def _pause_detour(self, kind: str) -> None:
         """Wait until a kind may be asked for again; until a reader is found at the longest."""
-        pause_s = PROMPT_PAUSE_SECONDS if kind in self._prompt_kinds else PAUSE_SECONDS
+        pause_s = SHORT_PAUSE_SECONDS if kind in self._prompt_kinds else PAUSE_SECONDS
         left_s = self._relayed_at.get(kind, float("-inf")) + pause_s - self._now()
         if left_s > 0.0:
             self._found.wait(left_s)
@@ -242,7 +242,7 @@
     @property
     def _has_way(self) -> bool:
         """Return whether a reader can be asked, on whichever way."""
-        return bool(self._proven_readers()) or self.detour.is_open
+        return bool(self._proven_readers()) or self.relayed_reads.is_active
 
     @contextlib.contextmanager
     def _asking_directly(self) -> Iterator[None]:
@@ -254,7 +254,7 @@
             raise ObjectStoreError("the store itself did not answer a moment ago")
         try:
             yield
-        except (HistoryForgottenError, WatchInterruptedError):
+        except (HistoryExpiredError, WatchInterruptedError):
             raise
         except ObjectStoreError:
             self._direct_again_at = self._now() + DIRECT_PAUSE_SECONDS
@@ -267,15 +267,15 @@
 
     def _wait_for_readers(self, kind: str, revision: int) -> Changes:
         """Wait a moment while machines may not have registered yet."""
-        eventlet.sleep(LOOK_SECONDS)
+        eventlet.sleep(HEALTH_CHECK_SECONDS)
         if kind == REPLICAS_KIND:
-            raise HistoryForgottenError("no reader is known yet")
+            raise HistoryExpiredError("no reader is known yet")
         return Changes([], revision)
 
     def _watch_at(self, reader: Member, kind: str, revision: int, wait_s: float) -> Changes | None:
         """Return the changes that a reader told; None if it is of no use now."""
         is_prompt = kind in self._prompt_kinds
-        wait_s = min(wait_s, PROMPT_WAIT_SECONDS if is_prompt else MOST_WAIT_SECONDS)
+        wait_s = min(wait_s, SHORT_WAIT_SECONDS if is_prompt else MAX_WAIT_SECONDS)
         if is_prompt and kind not in self._told:
             # What the reader knows is proved by now; its next proof is up to 0.9 s away.
             wait_s = 0.0
@@ -285,7 +285,7 @@
             return None
         self._note_proven(reader)
         self._told.add(kind)
-        return told_changes(reply, sent_at_s, f"reader {reader.node_id}")
+        return changes_from_reply(reply, sent_at_s, f"reader {reader.node_id}")
 
     # Finding readers
 
@@ -296,19 +296,21 @@
         come back to the first one soon after it hears of the store again.
         """
         while True:
-            self._doubt.wait(CALM_LOOK_SECONDS if self._proven else LOOK_SECONDS)
+            self._doubt.wait(HEALTHY_CHECK_SECONDS if self._proven else HEALTH_CHECK_SECONDS)
             self._doubt = Event()
             for reader in self._unproven_readers():
                 self._looking.add(reader.node_id)
                 eventlet.spawn_n(self._prove, reader)
-            if self.detour.is_due():
+            if self.relayed_reads.is_probe_due():
                 eventlet.spawn_n(self._look_through_neighbours)
 
     def _look_through_neighbours(self) -> None:
         """Find out whether a neighbour reaches a reader; whoever waits is told."""
         kind = self._look_kind
-        self.detour.look(WatchObjects(kind, self._revisions.get(kind, 0), 0.0, is_look=True))
-        if self.detour.is_open:
+        self.relayed_reads.probe(
+            WatchObjects(kind, self._revisions.get(kind, 0), 0.0, is_look=True)
+        )
+        if self.relayed_reads.is_active:
             self._note_back()
 
     def _note_doubt(self) -> None:
@@ -324,7 +326,7 @@
                 break
             if reader.node_id not in self._looking:
                 found.append(reader)
-        return found[:READERS_LOOKED_FOR]
+        return found[:READERS_CHECKED]
 
     def _prove(self, reader: Member) -> None:
         """Find out whether a reader hears from the store, or once it does."""
@@ -332,7 +334,7 @@
             reply = self._look_at(reader, 0.0)
             # One that is found to be out of contact is asked to tell of its end by itself.
             while is_out_of_contact(reply) and not self._proven:
-                reply = self._look_at(reader, KEPT_SECONDS)
+                reply = self._look_at(reader, HELD_CHECK_SECONDS)
         except WatchInterruptedError:
             return
         finally:
@@ -350,7 +352,7 @@
         candidates = self._order.candidates(self._now())
         return [reader for reader in candidates if reader.node_id in self._proven]
 
-    def wait_for_contact(self, seconds: float) -> None:
+    def wait_for_recovery(self, seconds: float) -> None:
         """Pause; until a reader or the store answers again at the longest."""
         self._found.wait(min(seconds, FOUND_SECONDS) if self._has_way else seconds)
 
@@ -379,7 +381,7 @@
         if not isinstance(reply, ObjectsReply):
             self._note_silent(reader)
             return None
-        self.detour.note_heard()
+        self.relayed_reads.note_direct_answer()
         if reply.status is ObjectsStatus.OUT_OF_CONTACT:
             self._note_out_of_contact(reader)
         return reply
@@ -404,14 +406,14 @@
         self._order.note_answered(reader.node_id)
         if reader.node_id not in self._proven:
             self._proven.add(reader.node_id)
-            self.detour.note_relied()
+            self.relayed_reads.note_healthy_reader()
             self._log.write(decisions.DependencyChanged(f"reader/{reader.node_id}", True, ""))
             self._return_to_first()
             self._note_back()
 
     def _note_silent(self, reader: Member) -> None:
         if reader.node_id in self._proven or reader in self._order.candidates(self._now()):
-            self._order.note_silent(reader.node_id, self._now())
+            self._order.note_no_answer(reader.node_id, self._now())
             self._leave(reader, "no answer")
 
     def _note_out_of_contact(self, reader: Member) -> None:
@@ -427,7 +429,7 @@
             # change that it waits for, and if it is lost as well that shows after 0.5 s, not 1.5.
             self._told.clear()
             if not self._proven:
-                self.detour.note_unrelied()
+                self.relayed_reads.note_no_healthy_reader()
         for arrived, asked in list(self._pending.items()):
             if asked == reader.node_id and not arrived.ready():
                 arrived.send(None)
@@ -484,7 +486,7 @@
         except WatchInterruptedError:
             raise
         except ObjectStoreError:
-            self._direct_again_at = self._now() + PROBED_PAUSE_SECONDS
+            self._direct_again_at = self._now() + DIRECT_GET_PAUSE_SECONDS
             raise
         self._direct_again_at = 0.0
         return item
--- a/yarrowwall/watching/proof.py
+++ b/yarrowwall/watching/verified_state.py
@@ -10,24 +10,24 @@
     sent_at_s: float
 
 
-class StateProof:
+class VerifiedState:
     """Compares what is known of an object with what the store answers when it is asked.
 
     Only such an answer proves anything: a watch that waits may wait at a store that has lost
     it, and its history may be forgotten. It proves the moment at which the question was sent,
     for later changes may have been acknowledged while the answer was on its way.
 
-    :ivar proved_at_s: the newest moment at which nothing newer than what is known had been
+    :ivar verified_at_s: the newest moment at which nothing newer than what is known had been
         acknowledged; None before the first.
     """
 
     def __init__(self) -> None:
-        self.proved_at_s: float | None = None
+        self.verified_at_s: float | None = None
         self._known_revision = 0
         self._newer: _Reading | None = None
 
     @property
-    def is_behind(self) -> bool:
+    def is_stale(self) -> bool:
         """Return whether the store has a newer state than is known here."""
         return self._newer is not None
 
@@ -49,5 +49,5 @@
 
     def _prove(self, sent_at_s: float) -> None:
         self._newer = None
-        if self.proved_at_s is None or sent_at_s > self.proved_at_s:
-            self.proved_at_s = sent_at_s
+        if self.verified_at_s is None or sent_at_s > self.verified_at_s:
+            self.verified_at_s = sent_at_s
--- a/yarrowwall/watching/wire.py
+++ b/yarrowwall/watching/wire.py
@@ -17,7 +17,7 @@
     """An object and how it travels."""
 
     item: StoredObject
-    relayed: RelayedObject
+    encoded: RelayedObject
 
 
 class ObjectEncoder:
@@ -26,17 +26,17 @@
     def __init__(self) -> None:
         self._known: dict[str, _Encoded] = {}
 
-    def relayed(self, item: StoredObject) -> RelayedObject:
+    def encode(self, item: StoredObject) -> RelayedObject:
         """Return an object as it travels."""
         known = self._known.get(item.name)
         if known is None or known.item is not item:
             known = self._known[item.name] = _Encoded(item, _encoded(item, is_gone=False))
-        return known.relayed
+        return known.encoded
 
-    def relayed_change(self, change: Change) -> RelayedObject:
+    def encode_change(self, change: Change) -> RelayedObject:
         """Return a change as it travels."""
         if not change.is_gone:
-            return self.relayed(change.item)
+            return self.encode(change.item)
         self._known.pop(change.item.name, None)
         return _encoded(change.item, is_gone=True)
 
@@ -47,7 +47,7 @@
     return RelayedObject(item.name, item.revision, content, is_gone)
 
 
-def stored(found: RelayedObject) -> StoredObject:
+def decode_object(found: RelayedObject) -> StoredObject:
     """Return an object that travelled.
 
     One whose content can't be read is empty: it must not take the others of its list with it.
@@ -61,6 +61,6 @@
     return StoredObject(found.name, found.revision, spec, status)
 
 
-def changes(found: Iterable[RelayedObject]) -> list[Change]:
+def decode_changes(found: Iterable[RelayedObject]) -> list[Change]:
     """Return changes that travelled."""
-    return [Change(stored(one), one.is_gone) for one in found]
+    return [Change(decode_object(one), one.is_gone) for one in found]
