--- a/yarrowwall/capacity/load_reports.py
+++ b/yarrowwall/capacity/load_reports.py
@@ -141,7 +141,7 @@
         running = self._directory.running_by_incarnation()
         services = self._services()
         message = TellLoad(self._node_id, list(running), list(running.values()), services)
-        self._links.get(member.address).tell(message)
+        self._links.get(member.address).send_one_way(message)
 
     def _report(self, running: dict[str, int]) -> ReportLoad:
         services = self._services()
@@ -165,7 +165,7 @@
         """Report that an admitted program did not begin."""
         member = self._board_member()
         if member is not None:
-            self._links.get(member.address).tell(message)
+            self._links.get(member.address).send_one_way(message)
 
     def _record_loads(self, reply: LoadReply) -> None:
         self.reporters = reply.reporters
@@ -175,7 +175,7 @@
     def _board_member(self) -> Member | None:
         """Return the replica that all gateways report to; None if all are suspended."""
         now_s = self._now()
-        for member in self._views.board():
+        for member in self._views.report_replicas():
             if self._suspended_until.get(member.disk_id, 0.0) <= now_s:
                 return member
         return None
--- a/yarrowwall/machine/replica_requests.py
+++ b/yarrowwall/machine/replica_requests.py
@@ -21,18 +21,18 @@
     StatusReply,
     TellLoad,
 )
-from yarrowwall.quotas.lending import QuotaLending
+from yarrowwall.quotas.permit_service import PermitService
 from yarrowwall.replication.disk import RecordDisk
-from yarrowwall.replication.neighbours import NeighbourBoard
+from yarrowwall.replication.neighbours import NeighbourRegistry
 from yarrowwall.replication.replica import Request
 from yarrowwall.replication.synchroniser import Synchroniser
 from yarrowwall.replication.views import is_zone_group
-from yarrowwall.watching.reader import ObjectReader
+from yarrowwall.watching.reader import StoreReader
 
 Reply = Callable[[object], None]
 
 
-class KeptReplica(NamedTuple):
+class LocalReplica(NamedTuple):
     """A replica of the machine with its disk and its copying."""
 
     disk: RecordDisk
@@ -47,15 +47,15 @@
     """
 
     def __init__(
-        self, common: KeptReplica, zone: KeptReplica, lending: QuotaLending, reader: ObjectReader
+        self, common: LocalReplica, zone: LocalReplica, permits: PermitService, reader: StoreReader
     ) -> None:
         self._common = common
         self._zone = zone
-        self._lending = lending
+        self._permits = permits
         self._reader = reader
         self._loads = LoadBoard()
         self._rooms = AdmissionBoard()
-        self._neighbours = NeighbourBoard()
+        self._neighbours = NeighbourRegistry()
 
     def handle(self, request: object, reply: Reply) -> None:
         """Answer a request; the reply may follow later, or not at all."""
@@ -69,9 +69,9 @@
             case ReturnRoom():
                 self._rooms.cancel(request)
             case TakeQuota():
-                self._lending.take(request, reply)
+                self._permits.issue(request, reply)
             case ReturnQuota():
-                self._lending.give_back(request)
+                self._permits.return_permit(request)
             case AskNeighbours():
                 neighbours = self._neighbours.ask(request.gateway, time.monotonic())
                 reply(NeighboursReply(neighbours))
@@ -82,12 +82,12 @@
             case _:
                 self._ask_replica(cast(Request, request), reply)
 
-    def replica_of(self, group: int) -> KeptReplica:
+    def replica_of(self, group: int) -> LocalReplica:
         """Return the replica that is for groups of a kind."""
         return self._zone if is_zone_group(group) else self._common
 
     @staticmethod
-    def _status(kept: KeptReplica) -> StatusReply:
+    def _status(kept: LocalReplica) -> StatusReply:
         return kept.disk.replica.status()
 
     def _ask_replica(self, request: Request, reply: Reply) -> None:
@@ -104,8 +104,8 @@
             lambda: reply(RecordsReply(ReplyStatus.DISK_REFUSED, False, [], None)),
         )
 
-    def _after_persist(self, asked: KeptReplica, reply: object) -> object:
-        asked.synchroniser.look()
+    def _after_persist(self, asked: LocalReplica, reply: object) -> object:
+        asked.synchroniser.check_now()
         return self._status(asked) if isinstance(reply, StatusReply) else reply
 
     # Loads
--- a/yarrowwall/replication/rpc.py
+++ b/yarrowwall/replication/rpc.py
@@ -20,7 +20,7 @@
 from yarrowwall.messages.codec import decode, encode
 from yarrowwall.messages.exceptions import MalformedMessageError, UnknownMessageError
 from yarrowwall.replication.exceptions import FrameError, LinkDownError
-from yarrowwall.sockets import Receiver, open_socket, set_silence_limits
+from yarrowwall.sockets import Receiver, open_socket, set_tcp_options
 
 #: Longest frame that is read; longer ones close the connection.
 MOST_FRAME_BYTES = 64 * 1024 * 1024
@@ -221,7 +221,7 @@
             eventlet.spawn_n(self._open)
         return self._number
 
-    def tell(self, message: object) -> None:
+    def send_one_way(self, message: object) -> None:
         """Send what needs no reply, if there is a connection; it may be lost."""
         if self._channel is not None and self._channel.is_open:
             self._channel.send(NO_REPLY, message)
@@ -343,7 +343,7 @@
             connection, (host, port) = listener.accept()
         except OSError:
             return
-        set_silence_limits(connection)
+        set_tcp_options(connection)
         _serve_connection(connection, f"{host}:{port}", handle, log)
 
 
