--- a/features/returns.feature
+++ b/features/returns.feature
@@ -1,12 +1,12 @@
-Feature: Callers that are refused in an outage come back when there is service again
-  A turn has three starts, and comes back once from each after Retry-After. Told to come back too
-  early three times, its program is lost; told too late, it is late.
+Feature: Callers that are refused during an outage retry when service is back
+  A turn is sent up to three times, each with one retry after Retry-After. If all retries come too
+  early, its program is lost; if they come too late, it is late.
 
-  Scenario Outline: Turns that come in <outage> s without service find it again
-    When turns come at any moment of <outage> s without service
-    Then <share> of them find it again, <late> s after its return on average
-    And no more than <at_once> of them come back within 0.1 s
-    And more of them find it than by the ways before
+  Scenario Outline: Turns that arrive during an outage of <outage> s are served afterwards
+    When turns arrive at random times during an outage of <outage> s
+    Then <share> of them are served, <late> s after the end of the outage on average
+    And no more than <at_once> of them retry within the same 0.1 s
+    And more of them are served than with the earlier rules
 
     Examples:
       | outage | share | late | at_once |
--- a/features/steps/backoff_steps.py
+++ b/features/steps/backoff_steps.py
@@ -1,4 +1,4 @@
-"""Steps about pauses of those that go on failing."""
+"""Steps about the backoff of components that fail repeatedly."""
 
 from collections.abc import Callable
 from unittest.mock import patch
@@ -21,11 +21,11 @@
 
 
 class _Stopped(Exception):
-    """Ends what would go on for ever, at its first pause that counts."""
+    """Ends an endless loop once enough pauses were recorded."""
 
 
-class _Silent:
-    """A store that answers nothing."""
+class _FailingStore:
+    """A store whose reads all fail."""
 
     def list(self, kind: str, timeout_s: float, allow_stale: bool = False) -> Listing:
         """Fail."""
@@ -41,7 +41,7 @@
 
 
 def pauses(run: Callable[[], None], count: int) -> list[float]:
-    """Return the first pauses of what never returns."""
+    """Return the first pauses of a function that never returns."""
     found: list[float] = []
 
     def sleep(seconds: float) -> None:
@@ -54,26 +54,26 @@
             run()
         except _Stopped:
             return found
-    raise AssertionError("it ended by itself")
+    raise AssertionError("the function returned")
 
 
-def _ignore(found: object) -> None:
-    """Take in nothing."""
+def _ignore(item: object) -> None:
+    """Do nothing."""
 
 
 def follower_pause_s(failures: int) -> float:
-    follower = KindFollower(_Silent(), "config", _ignore, _ignore, DecisionLog("edge-0"))
+    follower = KindFollower(_FailingStore(), "config", _ignore, _ignore, DecisionLog("edge-0"))
     follower.has_listed = True
     follower._failures = failures
     return pauses(follower._run, 1)[-1]
 
 
 def reader_pause_s(failures: int) -> float:
-    order = ReaderSelection("edge-0", "a")
-    order.put(Member("a-1", "disk", "127.0.0.1:1", "a"))
+    selection = ReaderSelection("edge-0", "a")
+    selection.put(Member("a-1", "disk", "127.0.0.1:1", "a"))
     for _ in range(failures + 1):
-        order.note_no_answer("a-1", NOW_S)
-    return order._passed_over_until["a-1"] - NOW_S
+        selection.note_no_answer("a-1", NOW_S)
+    return selection._passed_over_until["a-1"] - NOW_S
 
 
 def server_pause_s(failures: int) -> float:
@@ -84,10 +84,10 @@
     return directory.states["i-1"].suspended_until - NOW_S
 
 
-def question_pause_s(failures: int) -> float:
+def probe_pause_s(failures: int) -> float:
     probe = FreshnessProbe(
         "edge-0",
-        _Silent(),
+        _FailingStore(),
         ObjectName("config", "main"),
         Freshness(5.0, 3.0),
         lambda item: None,
@@ -95,21 +95,21 @@
         lambda: NOW_S,
     )
     probe._unanswered = failures
-    # The first pause is that between two looks at the age.
+    # The first pause is between two checks of the age.
     return pauses(probe._run, 2)[-1]
 
 
-WHO = {
+PAUSES = {
     "a follower of the store": follower_pause_s,
     "a reader that does not answer": reader_pause_s,
     "a server that fails": server_pause_s,
-    "a gateway's own question": question_pause_s,
+    "a gateway's own question": probe_pause_s,
 }
 
 
 @given("{who} that has failed {count:d} times")
 def failed_often(context: Context, who: str, count: int) -> None:
-    context.who, context.failures = WHO[who], count
+    context.who, context.failures = PAUSES[who], count
 
 
 @when("it fails once more")
--- a/features/steps/placement_steps.py
+++ b/features/steps/placement_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the choice of servers and what gateways tell each other of their loads."""
+"""Steps about the choice of servers and the exchange of loads among gateways."""
 
 import re
 import time
@@ -30,11 +30,11 @@
 SHARED = PromptPart("shared", 12_000)
 
 
-def directory(names: list[str], places: int) -> ServerDirectory:
-    """Return what one gateway knows of engines."""
+def directory(names: list[str], slots: int) -> ServerDirectory:
+    """Return a gateway's directory of engines."""
     found = ServerDirectory("zone-a")
-    services = {SERVICE: Service(SERVICE, EngineTraits(places, 500_000, 23))}
-    servers = [Server(name, SERVICE, "127.0.0.1:1", "zone-a", places, False) for name in names]
+    services = {SERVICE: Service(SERVICE, EngineTraits(slots, 500_000, 23))}
+    servers = [Server(name, SERVICE, "127.0.0.1:1", "zone-a", slots, False) for name in names]
     found.replace_all(servers, services, NOW)
     return found
 
@@ -48,18 +48,18 @@
     return choice.server.server_id
 
 
-@given("engines {names} with {places:d} places each in one zone")
-def engines_in_zone(context: Context, names: str, places: int) -> None:
+@given("engines {names} with {slots:d} slots each in one zone")
+def engines_in_zone(context: Context, names: str, slots: int) -> None:
     context.names = re.findall(r'"(\w+)"', names)
-    context.places = places
+    context.slots = slots
     context.now = NOW
-    context.engines = directory(context.names, places)
+    context.engines = directory(context.names, slots)
 
 
-@given('an engine "{name}" with {places:d} places in another zone')
-def engine_elsewhere(context: Context, name: str, places: int) -> None:
-    services = {SERVICE: Service(SERVICE, EngineTraits(places, 500_000, 23))}
-    server = Server(name, SERVICE, "127.0.0.1:1", "zone-b", places, False)
+@given('an engine "{name}" with {slots:d} slots in another zone')
+def engine_in_other_zone(context: Context, name: str, slots: int) -> None:
+    services = {SERVICE: Service(SERVICE, EngineTraits(slots, 500_000, 23))}
+    server = Server(name, SERVICE, "127.0.0.1:1", "zone-b", slots, False)
     context.engines.put(server, services, NOW)
 
 
@@ -69,25 +69,27 @@
     assert name not in found, found
 
 
-@when('other gateways tell of {count:d} requests at "{one}" and "{two}" and none at "{free}"')
-def others_tell_of_two(context: Context, count: int, one: str, two: str, free: str) -> None:
+@when('other gateways report {count:d} requests at "{one}" and "{two}" and none at "{free}"')
+def others_report_two(context: Context, count: int, one: str, two: str, free: str) -> None:
     context.engines.update_loads({one: count, two: count}, context.now)
 
 
-@when('other gateways tell of {count:d} requests at "{full}" and none at "{free}"')
-def others_tell(context: Context, count: int, full: str, free: str) -> None:
+@when('other gateways report {count:d} requests at "{full}" and none at "{free}"')
+def others_report(context: Context, count: int, full: str, free: str) -> None:
     context.engines.update_loads({full: count}, context.now)
 
 
-@when("{seconds:f} s pass without news of them")
-def pass_without_news(context: Context, seconds: float) -> None:
+@when("{seconds:f} s pass without further reports")
+def pass_without_reports(context: Context, seconds: float) -> None:
     context.now += seconds
 
 
-@when('events of "{slow}" take {slow_ms:d} ms and those of "{one}" and "{other}" {usual_ms:d} ms')
-def paces(context: Context, slow: str, slow_ms: int, one: str, other: str, usual_ms: int) -> None:
-    for name, pace_ms in ((slow, slow_ms), (one, usual_ms), (other, usual_ms)):
-        context.engines.note_service_time(Incarnation(name), pace_ms / 1000.0, context.now)
+@when('events of "{slow}" take {slow_ms:d} ms and those of "{one}" and "{other}" {typical_ms:d} ms')
+def service_times(
+    context: Context, slow: str, slow_ms: int, one: str, other: str, typical_ms: int
+) -> None:
+    for name, event_ms in ((slow, slow_ms), (one, typical_ms), (other, typical_ms)):
+        context.engines.note_service_time(Incarnation(name), event_ms / 1000.0, context.now)
 
 
 @then('{count:d} new programs all go to "{name}"')
@@ -104,7 +106,7 @@
 
 @then("{gateways:d} gateways choose the same engine for each of {programs:d} programs")
 def gateways_agree(context: Context, gateways: int, programs: int) -> None:
-    known = [directory(context.names, context.places) for _ in range(gateways)]
+    known = [directory(context.names, context.slots) for _ in range(gateways)]
     used = set()
     for number in range(programs):
         found = {chosen(context, engines, f"p{number}") for engines in known}
@@ -114,8 +116,8 @@
 
 
 @then(
-    "a gateway that is told where the turn before ran chooses that engine"
-    " for each of {programs:d} programs"
+    "a gateway that knows where the previous turn ran chooses that engine for each of {programs:d}"
+    " programs"
 )
 def follows(context: Context, programs: int) -> None:
     for number in range(programs):
@@ -123,21 +125,21 @@
         assert chosen(context, context.engines, f"p{number}", last) == last
 
 
-@then('a program whose turn before ran at "{last}" goes to "{name}"')
+@then('a program whose previous turn ran at "{last}" goes to "{name}"')
 def goes_to(context: Context, last: str, name: str) -> None:
     assert chosen(context, context.engines, "p", last) == name
 
 
-@then('a program whose turn before ran at "{last}" does not go to "{name}"')
+@then('a program whose previous turn ran at "{last}" does not go to "{name}"')
 def does_not_go_to(context: Context, last: str, name: str) -> None:
     assert chosen(context, context.engines, "p", last) != name
 
 
 @given(
-    'a load board that "{one}" told of {first:d} requests at "{at}"'
-    ' and "{two}" of {second:d} at "{same}"'
+    'a load board to which "{one}" reported {first:d} requests at "{at}" and "{two}" {second:d} at'
+    ' "{same}"'
 )
-def board_told(
+def board_with_reports(
     context: Context, one: str, first: int, at: str, two: str, second: int, same: str
 ) -> None:
     context.board = LoadBoard()
@@ -145,16 +147,16 @@
     context.board.record_report(two, {same: second}, NOW)
 
 
-@then('"{gateway}" is told of {count:d} requests at "{server}"')
-def is_told(context: Context, gateway: str, count: int, server: str) -> None:
+@then('"{gateway}" receives a load of {count:d} requests at "{server}"')
+def receives_load(context: Context, gateway: str, count: int, server: str) -> None:
     assert context.board.loads_of_others(gateway)[server] == count
 
 
 @then(
-    '{seconds:f} s later, when "{reporter}" reports again,'
-    ' "{gateway}" is told of {count:d} requests at "{server}"'
+    '{seconds:f} s later, when "{reporter}" reports again, "{gateway}" receives a load of {count:d}'
+    ' requests at "{server}"'
 )
-def told_later(
+def receives_load_later(
     context: Context, seconds: float, reporter: str, gateway: str, count: int, server: str
 ) -> None:
     context.board.record_report(reporter, {server: count}, NOW + seconds)
@@ -168,16 +170,16 @@
         context.board.record_report(f"g{number}", {}, NOW)
 
 
-@then("they are to report every {seconds:f} s")
+@then("their report interval is {seconds:f} s")
 def report_every(context: Context, seconds: float) -> None:
     assert abs(context.board.interval_s - seconds) < 1e-9, context.board.interval_s
 
 
-@given('budget records of "{program}" that note "{first}", then "{second}", then nothing yet')
+@given('budget records of "{program}" with the notes "{first}", "{second}" and then none')
 def budget_records(context: Context, program: str, first: str, second: str) -> None:
     context.records = RecordTable()
     for number, note in enumerate((first, second, "")):
-        # Each reservation comes without a note; its settlement brings it.
+        # A reservation has no note; its settlement adds one.
         for version, value in ((0, b""), (1, note.encode())):
             key = f"budget/{program}/{number}"
             record = StoredRecord(key, version, program, "", 60.0, 10, value)
@@ -189,14 +191,12 @@
     assert context.records.newest_note(program) == note
 
 
-@then('nothing is noted of "{program}"')
+@then('"{program}" has no note')
 def no_note(context: Context, program: str) -> None:
     assert context.records.newest_note(program) == ""
 
 
-@given(
-    'an engine "{name}" that was listed before the configuration that gives it {tokens:d} tokens'
-)
+@given('an engine "{name}" that was listed before a configuration with {tokens:d} cache tokens')
 def listed_early(context: Context, name: str, tokens: int) -> None:
     context.engines = ServerDirectory("zone-a")
     server = Server(name, SERVICE, "127.0.0.1:1", "zone-a", 6, False)
@@ -204,13 +204,13 @@
     context.services = {SERVICE: Service(SERVICE, EngineTraits(6, tokens, 23))}
 
 
-@when("the configuration comes")
-def configuration_comes(context: Context) -> None:
+@when("the configuration arrives")
+def configuration_arrives(context: Context) -> None:
     context.engines.update_services(context.services)
 
 
-@then('a prompt of {count:d} parts that "{name}" read is believed to be kept there whole')
-def kept_whole(context: Context, count: int, name: str) -> None:
+@then('a prompt of {count:d} parts that was sent to "{name}" is assumed to be fully cached')
+def fully_cached(context: Context, count: int, name: str) -> None:
     prompt = [PromptPart(f"part-{number}", 1000) for number in range(count)]
     prefix_cache = context.engines.states[name].prefix_cache
     prefix_cache.note_sent(prompt)
@@ -225,28 +225,28 @@
         self.is_silent = False
 
     def post(self, message: ReportLoad, completion: Callable[[object], None]) -> int:
-        """Take a report and answer it."""
+        """Record a report and answer it."""
         if not self.is_silent:
-            self._take(message)
+            self._record(message)
             others = self.board.loads_of_others(message.node_id)
             completion(LoadReply(list(others), list(others.values()), 0.1, 2))
         return 1
 
     def send_one_way(self, message: TellLoad) -> None:
-        """Take what is told."""
+        """Record a report."""
         if not self.is_silent:
-            self._take(message)
+            self._record(message)
 
-    def _take(self, message: ReportLoad | TellLoad) -> None:
+    def _record(self, message: ReportLoad | TellLoad) -> None:
         running = dict(zip(message.servers, message.running, strict=True))
         self.board.record_report(message.node_id, running, NOW)
 
     def forget(self, number: int, is_late: bool = False) -> None:
-        """Wait no more for a reply."""
+        """Do nothing; a late reply needs no cleanup here."""
 
 
 class _BoardLinks:
-    """The links of all gateways lead to one machine."""
+    """Links that all lead to one machine."""
 
     def __init__(self) -> None:
         self.link = _BoardLink()
@@ -256,7 +256,7 @@
         return self.link
 
 
-@given('gateways "{one}" and "{two}" that tell one load board of engine "{engine}"')
+@given('gateways "{one}" and "{two}" that report loads of engine "{engine}" to one board')
 def reporting_gateways(context: Context, one: str, two: str, engine: str) -> None:
     context.links = _BoardLinks()
     views = GroupViews()
@@ -268,7 +268,7 @@
     }
 
 
-@when('"{gateway}" {change} a turn at "{engine}" and tells of it')
+@when('"{gateway}" {change} a turn at "{engine}" and reports it')
 def turn_changes(context: Context, gateway: str, change: str, engine: str) -> None:
     known = context.directories[gateway]
     if change == "starts":
@@ -278,20 +278,20 @@
     context.reporters[gateway].report_loads()
 
 
-@when('"{gateway}" asks for the loads')
-def asks_for_loads(context: Context, gateway: str) -> None:
-    began = time.monotonic()
+@when('"{gateway}" requests the loads')
+def requests_loads(context: Context, gateway: str) -> None:
+    started_s = time.monotonic()
     context.reporters[gateway].request_loads().wait()
-    context.waited_s = time.monotonic() - began
+    context.waited_s = time.monotonic() - started_s
 
 
-@then('"{gateway}" knows of {count:d} requests at "{engine}"')
+@then('"{gateway}" knows {count:d} requests at "{engine}"')
 def knows_load(context: Context, gateway: str, count: int, engine: str) -> None:
     known = context.directories[gateway]
     assert known.load(known.states[engine], NOW) == count
 
 
-@when("the load board falls silent")
+@when("the load board stops answering")
 def board_silent(context: Context) -> None:
     context.links.link.is_silent = True
 
@@ -301,9 +301,9 @@
     assert context.waited_s * 1000.0 <= limit, context.waited_s
 
 
-@given("171 gateways before 30 engines of 6 places, and a burst")
+@given("171 gateways, 30 engines with 6 slots and a burst")
 def many_gateways(context: Context) -> None:
-    """Is what :mod:`features.support.placement_model` is made of."""
+    """Do nothing: :mod:`features.support.placement_model` is set up like this."""
 
 
 @when("gateways report every {seconds:f} s")
@@ -311,8 +311,8 @@
     context.outcome = PlacementModel(1, seconds, is_fresh=False).run()
 
 
-@when("gateways report every {seconds:f} s and turns ask for the loads")
-def reports_and_questions(context: Context, seconds: float) -> None:
+@when("gateways report every {seconds:f} s and turns request the loads")
+def reports_and_requests(context: Context, seconds: float) -> None:
     context.outcome = PlacementModel(1, seconds, is_fresh=True).run()
 
 
@@ -326,6 +326,6 @@
     assert context.outcome.late * 1000 < count * context.outcome.programs, context.outcome
 
 
-@then("under {count:d} turns were put back")
-def few_put_back(context: Context, count: int) -> None:
-    assert context.outcome.put_back < count, context.outcome
+@then("under {count:d} turns were preempted")
+def few_preempted(context: Context, count: int) -> None:
+    assert context.outcome.preempted < count, context.outcome
--- a/features/steps/return_steps.py
+++ b/features/steps/return_steps.py
@@ -1,28 +1,28 @@
-"""Steps about callers that are refused in an outage and come back."""
+"""Steps about callers that are refused during an outage and retry."""
 
 from behave import then, when
 from behave.runner import Context
 
-from features.support.return_model import WAYS, play
+from features.support.return_model import RULES, simulate
 
 
-@when("turns come at any moment of {outage_s:f} s without service")
-def turns_come(context: Context, outage_s: float) -> None:
-    context.returned = {name: play(advice, outage_s) for name, advice in WAYS.items()}
-    context.kept = context.returned["half as long again"]
+@when("turns arrive at random times during an outage of {outage_s:f} s")
+def turns_arrive(context: Context, outage_s: float) -> None:
+    context.results = {name: simulate(rule, outage_s) for name, rule in RULES.items()}
+    context.current = context.results["half as long again"]
 
 
-@then("{share:f} of them find it again, {late_s:f} s after its return on average")
-def find_it(context: Context, share: float, late_s: float) -> None:
-    assert context.kept.share >= share, context.returned
-    assert context.kept.late_s <= late_s, context.returned
+@then("{share:f} of them are served, {late_s:f} s after the end of the outage on average")
+def are_served(context: Context, share: float, late_s: float) -> None:
+    assert context.current.share >= share, context.results
+    assert context.current.late_s <= late_s, context.results
 
 
-@then("no more than {part:f} of them come back within 0.1 s")
+@then("no more than {part:f} of them retry within the same 0.1 s")
 def not_at_once(context: Context, part: float) -> None:
-    assert context.kept.most_at_once <= part, context.returned
+    assert context.current.most_at_once <= part, context.results
 
 
-@then("more of them find it than by the ways before")
+@then("more of them are served than with the earlier rules")
 def more_than_before(context: Context) -> None:
-    assert context.kept.share == max(one.share for one in context.returned.values())
+    assert context.current.share == max(one.share for one in context.results.values())
--- a/features/support/placement_model.py
+++ b/features/support/placement_model.py
@@ -1,9 +1,9 @@
-"""Many gateways that choose engines for programs' turns, on a virtual clock, without I/O.
+"""Model of many gateways that choose engines for turns, on a virtual clock, without I/O.
 
-The gateways are the product's directories and their loads go over the product's load board;
-engines, programs and the ways between are modelled: an engine runs as many turns as it has
-places, each slower the more of them run, admits by rank, and puts back the newest of the
-least urgent for one that is more urgent, which then begins anew.
+The server directories and the load board are the real code; engines, programs and the network
+are modelled. An engine runs as many turns as it has slots, and the more turns run, the slower
+each is. It starts turns by rank. For a more urgent turn it preempts the newest of the least
+urgent ones, which starts again later.
 """
 
 import heapq
@@ -20,36 +20,36 @@
 
 SERVICE = "models"
 ENGINES = 30
-PLACES = 6
+SLOTS = 6
 GATEWAYS = 171
 ZONES = 5
 SHARED_TOKENS = 12_600
-#: Seconds of a turn of nine events on an idle engine, and its growth by each turn beside it.
+#: Seconds of a turn of nine events on an idle engine, and the increase per concurrent turn.
 TURN_SECONDS = 0.1
 TURN_GROWTH_SECONDS = 0.027
-READ_TOKENS_PER_SECOND = 270_000.0
+PREFILL_TOKENS_PER_SECOND = 270_000.0
 TOOL_SECONDS = 0.06
 LATE_RANK = 6
-#: Programs a second, their growth in the middle of the time, and the time.
+#: Programs per second, the factor and the period of the burst, and the time of the last start.
 PROGRAMS_PER_SECOND = 64.0
 BURST_FACTOR = 1.8
 BURST_FROM_S, BURST_TO_S = 3.0, 7.0
 LAST_BEGIN_S = 10.0
-#: Seconds of the way to the load board and back.
-WAY_SECONDS = 0.002
+#: Round trip to the load board in seconds.
+ROUND_TRIP_SECONDS = 0.002
 
 
 @dataclass
 class Program:
-    """A chain of turns.
+    """A sequence of turns.
 
-    :param aim_s: when it is late.
+    :param target_s: time after which it is late.
     """
 
     name: str
     shared: str
     turns_left: int
-    aim_s: float
+    target_s: float
     zone: int
     tokens: int
     last_server: str = ""
@@ -59,7 +59,7 @@
 class Turn:
     """A turn at an engine.
 
-    :param starts: how often it was begun.
+    :param starts: number of times that it was started.
     """
 
     program: Program
@@ -77,23 +77,23 @@
     name: str
     running: list[Turn] = field(default_factory=list)
     waiting: list[Turn] = field(default_factory=list)
-    kept: set[str] = field(default_factory=set)
+    cached: set[str] = field(default_factory=set)
 
 
 @dataclass
 class Outcome:
-    """What a run came to."""
+    """The result of a run."""
 
     programs: int = 0
     late: int = 0
-    put_back: int = 0
+    preempted: int = 0
 
 
 class PlacementModel:
     """One run.
 
     :param report_s: seconds between two reports of a gateway.
-    :param is_fresh: whether turns ask for loads and tell of their start and end.
+    :param is_fresh: whether turns request the loads and report their start and end.
     """
 
     def __init__(self, seed: int, report_s: float, is_fresh: bool) -> None:
@@ -110,18 +110,18 @@
         self.outcome = Outcome()
 
     def _gateway(self, number: int) -> ServerDirectory:
-        found = ServerDirectory(f"z{number % ZONES}")
-        services = {SERVICE: Service(SERVICE, EngineTraits(PLACES, 236_000, 10))}
+        directory = ServerDirectory(f"z{number % ZONES}")
+        services = {SERVICE: Service(SERVICE, EngineTraits(SLOTS, 236_000, 10))}
         for index, name in enumerate(self._engines):
-            server = Server(name, SERVICE, "127.0.0.1:1", f"z{index % ZONES}", PLACES, False)
-            found.put(server, services, 0.0)
-        return found
+            server = Server(name, SERVICE, "127.0.0.1:1", f"z{index % ZONES}", SLOTS, False)
+            directory.put(server, services, 0.0)
+        return directory
 
     def _at(self, delay_s: float, action: Callable[[], None]) -> None:
         heapq.heappush(self._events, (self._now_s + delay_s, next(self._count), action))
 
     def run(self) -> Outcome:
-        """Play all programs."""
+        """Run all programs."""
         for number in range(GATEWAYS):
             self._at(
                 self._rng.random() * self._report_s, lambda number=number: self._report(number)
@@ -140,35 +140,35 @@
             at_s += self._rng.expovariate(per_s)
             is_long = self._rng.random() < 0.29
             turns = 9 if is_long else 3
-            aim_s = at_s + 0.22 + (1.5 if is_long else 1.4) * turns * 0.22
+            target_s = at_s + 0.22 + (1.5 if is_long else 1.4) * turns * 0.22
             shared = f"shared-{is_long}-{self._rng.randrange(3)}"
             program = Program(
-                f"p{next(self._count)}", shared, turns, aim_s, self._rng.randrange(ZONES), 1200
+                f"p{next(self._count)}", shared, turns, target_s, self._rng.randrange(ZONES), 1200
             )
             self._at(at_s, lambda program=program: self._ask(program))
 
     # Gateways
 
     def _report(self, gateway: int) -> None:
-        self._tell(gateway)
-        self._take(gateway)
+        self._send_report(gateway)
+        self._fetch_loads(gateway)
         if self._now_s < LAST_BEGIN_S:
             self._at(self._report_s, lambda: self._report(gateway))
 
-    def _tell(self, gateway: int) -> None:
+    def _send_report(self, gateway: int) -> None:
         running = self._gateways[gateway].running_by_incarnation()
         self._board.record_report(f"g{gateway}", running, self._now_s)
 
-    def _take(self, gateway: int) -> None:
+    def _fetch_loads(self, gateway: int) -> None:
         others = self._board.loads_of_others(f"g{gateway}")
         self._gateways[gateway].update_loads(others, self._now_s)
 
     def _ask(self, program: Program) -> None:
         gateway = self._rng.randrange(GATEWAYS // ZONES) * ZONES + program.zone
         if self._is_fresh:
-            self._tell(gateway)
-            self._take(gateway)
-        self._at(WAY_SECONDS / 2, lambda: self._place(program, gateway))
+            self._send_report(gateway)
+            self._fetch_loads(gateway)
+        self._at(ROUND_TRIP_SECONDS / 2, lambda: self._place(program, gateway))
 
     def _place(self, program: Program, gateway: int) -> None:
         known = self._gateways[gateway]
@@ -183,16 +183,16 @@
         known.note_started(Incarnation(name))
         known.states[name].prefix_cache.note_sent(prompt)
         program.last_server = name
-        self._tell_soon(gateway)
+        self._report_soon(gateway)
         turn = Turn(program, gateway, self._rank(program), self._now_s)
         self._arrive(self._engines[name], turn)
 
-    def _tell_soon(self, gateway: int) -> None:
+    def _report_soon(self, gateway: int) -> None:
         if self._is_fresh:
-            self._at(WAY_SECONDS / 2, lambda: self._tell(gateway))
+            self._at(ROUND_TRIP_SECONDS / 2, lambda: self._send_report(gateway))
 
     def _rank(self, program: Program) -> int:
-        left_s = program.aim_s - self._now_s
+        left_s = program.target_s - self._now_s
         if left_s < 0.0:
             return LATE_RANK
         return sum(left_s >= limit_s for limit_s in RANK_SECONDS)
@@ -200,14 +200,14 @@
     # Engines
 
     def _arrive(self, engine: Engine, turn: Turn) -> None:
-        if len(engine.running) < PLACES:
+        if len(engine.running) < SLOTS:
             self._start(engine, turn)
             return
         least = max(engine.running, key=lambda one: (one.rank, one.started_s))
         if turn.rank >= least.rank:
             engine.waiting.append(turn)
             return
-        self.outcome.put_back += 1
+        self.outcome.preempted += 1
         engine.running.remove(least)
         engine.waiting.append(least)
         self._start(engine, turn)
@@ -217,11 +217,14 @@
         turn.started_s = self._now_s
         engine.running.append(turn)
         parts = {turn.program.shared: SHARED_TOKENS, turn.program.name: turn.program.tokens}
-        unread = sum(tokens for part, tokens in parts.items() if part not in engine.kept)
-        engine.kept |= set(parts)
-        lasts_s = TURN_SECONDS + TURN_GROWTH_SECONDS * len(engine.running)
+        unprefilled = sum(tokens for part, tokens in parts.items() if part not in engine.cached)
+        engine.cached |= set(parts)
+        duration_s = TURN_SECONDS + TURN_GROWTH_SECONDS * len(engine.running)
         starts = turn.starts
-        self._at(lasts_s + unread / READ_TOKENS_PER_SECOND, lambda: self._end(engine, turn, starts))
+        self._at(
+            duration_s + unprefilled / PREFILL_TOKENS_PER_SECOND,
+            lambda: self._end(engine, turn, starts),
+        )
 
     def _end(self, engine: Engine, turn: Turn, starts: int) -> None:
         if turn.starts != starts or turn not in engine.running:
@@ -232,14 +235,14 @@
             engine.waiting.remove(first)
             self._start(engine, first)
         self._gateways[turn.gateway].states[engine.name].running -= 1
-        self._tell_soon(turn.gateway)
-        self._go_on(turn.program)
+        self._report_soon(turn.gateway)
+        self._end_turn(turn.program)
 
-    def _go_on(self, program: Program) -> None:
+    def _end_turn(self, program: Program) -> None:
         program.turns_left -= 1
         program.tokens += 1000
         if program.turns_left:
             self._at(TOOL_SECONDS, lambda: self._ask(program))
             return
         self.outcome.programs += 1
-        self.outcome.late += self._now_s > program.aim_s
+        self.outcome.late += self._now_s > program.target_s
--- a/features/support/schedules.py
+++ b/features/support/schedules.py
@@ -1,10 +1,10 @@
-"""Settings of hypothesis: the same examples in every run, none kept on disk."""
+"""Settings of Hypothesis: the same examples in every run, and none stored on disk."""
 
 from hypothesis import HealthCheck, Phase, settings
 
 
 def derandomized(count: int) -> settings:
-    """Return settings for so many examples; a failing one is shrunk."""
+    """Return settings for a number of examples; a failing example is shrunk."""
     return settings(
         max_examples=count,
         derandomize=True,
--- a/features/support/virtual_time.py
+++ b/features/support/virtual_time.py
@@ -1,4 +1,4 @@
-"""Greenthreads on a virtual clock: the product's own code runs unchanged."""
+"""Greenthreads on a virtual clock, on which production code runs unchanged."""
 
 import threading
 from collections.abc import Callable
@@ -8,11 +8,11 @@
 from eventlet import hubs, patcher
 from eventlet.hubs.hub import BaseHub
 
-# Each native thread has a hub of its own, so the real one of the test goes on.
+# Each native thread has its own hub, so that the test's real hub is not affected.
 _threading: Any = patcher.original("threading") or threading
 
 
-#: Seconds that part two timers of the same moment; a schedule has some 100,000 of them.
+#: Seconds between two timers for the same time, to order them; a schedule has about 100,000 timers.
 TIE_S = 1e-10
 
 
@@ -25,7 +25,7 @@
         super().__init__(clock=lambda: self.now_s)
 
     def add_timer(self, timer: Any) -> Any:
-        """Note a timer; those of the same moment fire in their order, in every run."""
+        """Add a timer; timers for the same time fire in the order of their creation."""
         self._timers += 1
         timer.scheduled_time = self.now_s + timer.seconds + self._timers * TIE_S
         self.next_timers.append((timer.scheduled_time, timer))
@@ -33,23 +33,23 @@
 
     @staticmethod
     def is_available() -> bool:
-        """Return whether it runs here."""
+        """Return whether this hub can be used."""
         return True
 
     def wait(self, seconds: float | None = None) -> None:
-        """Let time pass."""
+        """Advance the clock."""
         self.now_s += max(seconds or 0.0, 0.0)
 
 
-class _Ordered(dict[Any, None]):
-    """A set that keeps its order, so that those who wait for an event wake in the same one."""
+class _OrderedSet(dict[Any, None]):
+    """A set in insertion order, so that waiters for an event always wake in the same order."""
 
     def add(self, item: Any) -> None:
-        """Take an item in."""
+        """Add an item."""
         self[item] = None
 
     def discard(self, item: Any) -> None:
-        """Leave an item out."""
+        """Remove an item if present."""
         self.pop(item, None)
 
     remove = discard
@@ -60,16 +60,16 @@
     return hubs.get_hub().clock()
 
 
-def run_virtually(play: Callable[[], Any]) -> Any:
-    """Return what a function returns that runs on a virtual clock of its own."""
+def run_virtually(function: Callable[[], Any]) -> Any:
+    """Run a function on its own virtual clock and return its result."""
     results: list[Any] = []
     errors: list[BaseException] = []
 
     def run() -> None:
         hubs.use_hub(VirtualHub)
-        eventlet.event.set = _Ordered  # type: ignore[attr-defined]
+        eventlet.event.set = _OrderedSet  # type: ignore[attr-defined]
         try:
-            results.append(play())
+            results.append(function())
         except BaseException as error:
             errors.append(error)
 
