--- a/yarrowwall/machine/gateway_role.py
+++ b/yarrowwall/machine/gateway_role.py
@@ -167,7 +167,7 @@
         metrics.set_age(self.gateway.configuration_age_s)
         metrics.set_relayed(self._links.relayed, self._forwarder.forwarded)
         metrics.set_relay_refusals(self._links.refused, self._forwarder.refused)
-        metrics.set_reader_detours(self._store.relayed_reads.outcomes)
+        metrics.set_relayed_reads(self._store.relayed_reads.outcomes)
         metrics.set_held(
             {
                 "all": self._memory.held,
--- a/yarrowwall/machine/replica_role.py
+++ b/yarrowwall/machine/replica_role.py
@@ -148,7 +148,7 @@
 
     def update_metrics(self, metrics: MachineMetrics) -> None:
         """Set the metrics that are measured when they are asked for."""
-        metrics.set_lent(self._disk.issuer.issued_by_tenant(time.monotonic()))
+        metrics.set_issued_permits(self._disk.issuer.issued_by_tenant(time.monotonic()))
         metrics.set_zone_records(len(self._zone.disk.replica.table))
 
     # Upkeep
--- a/yarrowwall/metrics.py
+++ b/yarrowwall/metrics.py
@@ -62,18 +62,22 @@
 QUOTA_REFUSALS = _Description(
     "quota_refusals", "Attempts refused by their tenant's limit", "begins_program"
 )
-ROOM = _Description(
+ADMISSIONS = _Description(
     "room_decisions",
     "New programs while half of the places were taken, by what was lacking",
     "scarce",
 )
-ROOM_REFUSALS = _Description(
+ADMISSION_REFUSALS = _Description(
     "room_refusals", "New programs refused for want of room, by tenant", "tenant"
 )
-ROOM_FREE = _Description("room_free_programs", "Programs there was room for at last", "service")
-ROOM_WAITING = _Description("room_waiting_programs", "Refused programs that may return", "service")
-LENDING = _Description("quota_lending", "Whether this replica lends its part of limits")
-LENT = _Description("quota_lent", "Requests that count against this replica's part", "tenant")
+FREE_PROGRAMS = _Description("room_free_programs", "Programs there was room for at last", "service")
+WAITING_PROGRAMS = _Description(
+    "room_waiting_programs", "Refused programs that may return", "service"
+)
+ISSUING = _Description("quota_lending", "Whether this replica lends its part of limits")
+ISSUED_PERMITS = _Description(
+    "quota_lent", "Requests that count against this replica's part", "tenant"
+)
 AGE = _Description("configuration_age_seconds", "Time since the newest proof of the configuration")
 GIVEN_UP = _Description("callers_given_up", "Callers that read or sent nothing for too long")
 CONNECTIONS_ENDED = _Description(
@@ -96,7 +100,7 @@
 FORWARDED = _Description("forwarded_requests", "Requests passed on for a gateway", "gateway")
 RELAY_REFUSALS = _Description("relay_refusals", "Refusals of neighbours", "status")
 FORWARD_REFUSALS = _Description("forward_refusals", "Requests not passed on", "status")
-READER_DETOURS = _Description(
+RELAYED_READS = _Description(
     "reader_questions_relayed", "Questions to readers of the store through neighbours", "outcome"
 )
 SECONDS = _Description("attempt_seconds", "Time from an attempt's arrival to the end of its answer")
@@ -143,8 +147,8 @@
             ),
             decisions.ConfigurationInForce: lambda event: self._set(VERSION, event.version),
             decisions.QuotaRefused: lambda event: self._add(QUOTA_REFUSALS, event.begins),
-            decisions.RoomDecided: self._room_decided,
-            decisions.LendingChanged: lambda event: self._set(LENDING, event.lends),
+            decisions.RoomDecided: self._admission_decided,
+            decisions.LendingChanged: lambda event: self._set(ISSUING, event.lends),
             decisions.EntryRefused: lambda event: self._add(ENTRIES_REFUSED, event.fault),
             decisions.KeysChanged: self._keys_changed,
             decisions.GroupChanged: self._group_changed,
@@ -179,12 +183,12 @@
         self._add(KEYS, "added", len(event.added))
         self._add(KEYS, "removed", len(event.removed))
 
-    def _room_decided(self, event: decisions.RoomDecided) -> None:
-        self._add(ROOM, event.scarce)
+    def _admission_decided(self, event: decisions.RoomDecided) -> None:
+        self._add(ADMISSIONS, event.scarce)
         if not event.admitted:
-            self._add(ROOM_REFUSALS, event.tenant)
-        self._set(ROOM_FREE, event.free, event.service)
-        self._set(ROOM_WAITING, event.waiting, event.service)
+            self._add(ADMISSION_REFUSALS, event.tenant)
+        self._set(FREE_PROGRAMS, event.free, event.service)
+        self._set(WAITING_PROGRAMS, event.waiting, event.service)
 
     def _group_changed(self, event: decisions.GroupChanged) -> None:
         self._set(EPOCH, event.epoch, event.group)
@@ -208,9 +212,9 @@
         self._set_counts(RELAY_REFUSALS, met)
         self._set_counts(FORWARD_REFUSALS, given)
 
-    def set_reader_detours(self, outcomes: Mapping[str, int]) -> None:
+    def set_relayed_reads(self, outcomes: Mapping[str, int]) -> None:
         """Set the counts of relayed reads by outcome."""
-        self._set_counts(READER_DETOURS, outcomes)
+        self._set_counts(RELAYED_READS, outcomes)
 
     def _set_counts(self, metric: _Description, counts: Mapping[str, int]) -> None:
         for label, count in counts.items():
@@ -221,12 +225,12 @@
         for of, count in held.items():
             self._set(HELD, count, of)
 
-    def set_lent(self, lent: Mapping[str, int]) -> None:
+    def set_issued_permits(self, issued: Mapping[str, int]) -> None:
         """Set the requests that count against this replica's share, by tenant."""
-        for key in [key for key in self._gauges if key.metric is LENT]:
+        for key in [key for key in self._gauges if key.metric is ISSUED_PERMITS]:
             del self._gauges[key]
-        for tenant, count in lent.items():
-            self._set(LENT, count, tenant)
+        for tenant, count in issued.items():
+            self._set(ISSUED_PERMITS, count, tenant)
 
     def _sent(self, event: decisions.AttemptSent) -> None:
         self._add(SENDS, event.service)
