--- a/features/steps/server_entry_steps.py
+++ b/features/steps/server_entry_steps.py
@@ -98,8 +98,8 @@
 
 @then('"{name}" was told of as listed, once')
 def told_as_listed(context: Context, name: str) -> None:
-    told = [line for line in context.noted if isinstance(line, decisions.ServerChanged)]
-    assert told == [decisions.ServerChanged(name, "records", "listed")], told
+    reported = [line for line in context.noted if isinstance(line, decisions.ServerChanged)]
+    assert reported == [decisions.ServerChanged(name, "records", "listed")], reported
 
 
 @when('the entry of "{name}" is written with {field} as {value}')
@@ -188,7 +188,7 @@
 
 
 def _skip_known_bad(self: ServerList, change: Change) -> None:
-    if change.item.name not in {told.name for told in self._faults}:
+    if change.item.name not in {reported.name for reported in self._faults}:
         _apply_change(self, change)
 
 
--- a/yarrowwall/cli/failures.py
+++ b/yarrowwall/cli/failures.py
@@ -12,7 +12,7 @@
 
 from yarrowwall.capacity.program_rooms import NO_ROOM
 from yarrowwall.cli.explain import read_lines
-from yarrowwall.gateway.endings import EndReason
+from yarrowwall.gateway.connection_ends import ConnectionEndReason
 from yarrowwall.policy.freshness import TOO_OLD
 
 _ENDS = {
@@ -79,7 +79,7 @@
     "InternalFault": Cause.FAULT,
 }
 #: Reasons of ``ConnectionEnded`` that lie with the caller or its way here.
-_LEFT = {EndReason.LEFT_WHILE_WRITING, EndReason.WRITE_FAILED}
+_LEFT = {ConnectionEndReason.LEFT_WHILE_WRITING, ConnectionEndReason.WRITE_FAILED}
 
 
 class Attempt(NamedTuple):
--- a/yarrowwall/dispatch/__init__.py
+++ b/yarrowwall/dispatch/__init__.py
@@ -1,5 +1,5 @@
-"""An attempt at servers: which is asked, how often, and what comes back.
+"""Sending of attempts to servers and relaying of their answers.
 
-Owns connections to servers and the bytes on their way through them. The rules (which server, how
-long to wait, whether to send again) stand in :mod:`yarrowwall.policy`.
+Owns the connections to servers and the data that is read from them. The rules (which server, how
+long to wait, whether to send again) are in :mod:`yarrowwall.policy`.
 """
--- a/yarrowwall/dispatch/buffered.py
+++ b/yarrowwall/dispatch/buffered.py
@@ -1,4 +1,4 @@
-"""Relaying of answers that are passed on only once they are whole."""
+"""Relays answers that are buffered and passed on once they are complete."""
 
 from yarrowwall.dispatch.components import DispatchComponents
 from yarrowwall.dispatch.sender import AttemptSender
@@ -10,9 +10,9 @@
 def relay_buffered(
     components: DispatchComponents, route: Route, sender: AttemptSender
 ) -> tuple[Answer, bytes]:
-    """Return a server's whole answer and its body.
+    """Return a server's answer and its complete body.
 
-    :raises RefusedError: if no server gave one.
+    :raises RefusedError: if no server gave a complete answer.
     """
     while True:
         opened = sender.open()
--- a/yarrowwall/dispatch/components.py
+++ b/yarrowwall/dispatch/components.py
@@ -1,4 +1,4 @@
-"""What all attempts of a gateway share on their way to servers."""
+"""Components that all attempts of a gateway share."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -15,10 +15,10 @@
 
 @dataclass
 class DispatchComponents:
-    """What all attempts of a gateway share on their way to servers.
+    """Components that all attempts of a gateway share.
 
     :param now: the monotonic clock.
-    :ivar chooser: chooses among the servers of the directory.
+    :ivar chooser: chooses servers from the directory.
     """
 
     directory: ServerDirectory
@@ -33,5 +33,5 @@
     chooser: ServerChooser = field(init=False)
 
     def __post_init__(self) -> None:
-        """Choose among the servers of the directory."""
+        """Create the chooser."""
         self.chooser = ServerChooser(self.directory)
--- a/yarrowwall/dispatch/connection.py
+++ b/yarrowwall/dispatch/connection.py
@@ -1,8 +1,8 @@
-"""Connections to servers: one request at a time, strict about where an answer ends.
+"""Connections to servers: one request at a time, with strict framing of responses.
 
-``urllib3`` and ``http.client`` hide bytes that follow a whole answer, and with
-them the sign that a connection is spoiled; so responses are read here with
-``httptools`` (llhttp) on green sockets.
+``urllib3`` and ``http.client`` hide bytes that follow a complete response, which show that a
+connection must not be reused. So responses are parsed here with ``httptools`` (llhttp) on green
+sockets.
 """
 
 import contextlib
@@ -20,16 +20,16 @@
 from yarrowwall.model import Header, ResponseHead
 from yarrowwall.sockets import has_no_pending_input, open_socket, receive, send_all
 
-#: Bytes that are read at once. Each stream whose caller does not read keeps so many, in up to five
-#: copies on their way to the kernel; answers and events are smaller for the most part.
+#: Bytes that are read at a time. A stream whose caller does not read keeps up to five copies of
+#: them in memory; most answers and events are smaller.
 _READ_BYTES = 8 * 1024
-#: Bytes that the kernel holds of an answer that is not read. By itself it would hold up to 6 MB,
-#: which counts as the machine's memory; 256 KB in 40 ms, between regions, are 50 Mbit/s.
+#: Size of the kernel's receive buffer. By default it grows to 6 MB, which counts towards the
+#: machine's memory; 256 KB in 40 ms, a round trip between regions, allow 50 Mbit/s.
 _RECEIVE_BUFFER_BYTES = 256 * 1024
 
 
 class _Response:
-    """One response as far as it has arrived."""
+    """The part of a response that has arrived."""
 
     def __init__(self) -> None:
         self.headers: list[Header] = []
@@ -39,19 +39,19 @@
 
 
 class _ResponseReader:
-    """Callbacks of the parser; a connection may carry more responses than were asked for."""
+    """Callbacks of the parser; a server may send more responses than there were requests."""
 
     def __init__(self) -> None:
         self.responses: deque[_Response] = deque()
-        self.is_spoiled = False
+        self.is_malformed = False
         self._parser = httptools.HttpResponseParser(self)
 
     def feed(self, data: bytes) -> None:
-        """Take in bytes; whatever is no HTTP spoils the connection."""
+        """Parse bytes; invalid HTTP marks the connection as malformed."""
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError:
-            self.is_spoiled = True
+            self.is_malformed = True
 
     def on_message_begin(self) -> None:
         self.responses.append(_Response())
@@ -76,8 +76,8 @@
     """A connection to one server.
 
     :param address: ``IP:port``.
-    :param timeout: seconds for the connection to come up.
-    :raises ConnectError: if it does not.
+    :param timeout: connect timeout in seconds.
+    :raises ConnectError: if the connection cannot be opened.
     """
 
     def __init__(self, address: str, timeout: float) -> None:
@@ -85,22 +85,22 @@
         self.opened_unix_s = 0.0
         self.keep_alive: float | None = None
         self._reader = _ResponseReader()
-        self._is_unframed = False
+        self._ends_with_connection = False
         self._must_close = False
         self._socket = open_socket(address, timeout)
         self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, _RECEIVE_BUFFER_BYTES)
 
     def has_no_pending_input(self) -> bool:
-        """Return whether neither bytes nor an end have arrived since the last answer."""
+        """Return whether neither bytes nor an end of the connection wait to be read."""
         return has_no_pending_input(self._socket)
 
     def send(self, data: bytes, timeout: float) -> None:
         """Send a request.
 
-        :param timeout: seconds for all of it, however slowly the server reads.
+        :param timeout: seconds for the whole request, however slowly the server reads.
         :raises ConnectionBrokenError: if the connection fails; the request may have run.
         """
-        self._is_unframed = False
+        self._ends_with_connection = False
         try:
             send_all(self._socket, data, timeout)
         except OSError as error:
@@ -112,9 +112,9 @@
     def read_head(self, timeout: float) -> ResponseHead:
         """Return the head of the next response.
 
-        :raises AnswerTimeoutError: if it does not come in time.
+        :raises AnswerTimeoutError: if it does not arrive in time.
         :raises ConnectionBrokenError: if the connection ends first.
-        :raises MalformedAnswerError: if the bytes are no response.
+        :raises MalformedAnswerError: if the bytes are not an HTTP response.
         """
         responses = self._reader.responses
         while not responses or responses[0].head is None:
@@ -123,7 +123,7 @@
         head = responses[0].head
         names = {name.lower(): value for name, value in head.headers}
         framed = "content-length" in names or "transfer-encoding" in names
-        self._is_unframed = not framed and not responses[0].is_complete
+        self._ends_with_connection = not framed and not responses[0].is_complete
         if "close" in names.get("connection", "").lower() or not framed:
             self._must_close = True
         return head
@@ -131,7 +131,7 @@
     def read_some(self, timeout: float) -> bytes:
         """Return the next bytes of the body; empty at its end.
 
-        :raises AnswerTimeoutError: if none come in time.
+        :raises AnswerTimeoutError: if none arrive in time.
         :raises ConnectionBrokenError: if the connection ends before the body does.
         :raises MalformedAnswerError: if the framing is broken.
         """
@@ -140,7 +140,7 @@
             if response.is_complete:
                 return b""
             if not self._receive(timeout):
-                if not self._is_unframed:
+                if not self._ends_with_connection:
                     raise ConnectionBrokenError("closed within the answer")
                 response.is_complete = True
         data = b"".join(response.chunks)
@@ -150,8 +150,8 @@
     def read_all(self, timeout: float, hold: Callable[[int], None] = lambda size: None) -> bytes:
         """Return the rest of the body.
 
-        :param hold: called with the bytes that are held, as they come.
-        :raises AnswerTimeoutError: if some of it does not come in time.
+        :param hold: called with the size of each piece that is buffered.
+        :raises AnswerTimeoutError: if a piece does not arrive in time.
         :raises ConnectionBrokenError: if the connection ends before the body does.
         :raises MalformedAnswerError: if the framing is broken.
         """
@@ -162,12 +162,12 @@
         return b"".join(pieces)
 
     def finish_response(self) -> None:
-        """Leave a response that was read to its end."""
+        """Drop the current response, which was read to its end."""
         self._reader.responses.popleft()
 
     def _receive(self, timeout: float) -> bool:
-        """Take in what arrives next; return False at the end of the connection."""
-        if self._reader.is_spoiled:
+        """Read and parse the next bytes; return False at the end of the connection."""
+        if self._reader.is_malformed:
             raise MalformedAnswerError("bytes that are no answer")
         try:
             data = receive(self._socket, _READ_BYTES, max(timeout, 0.001))
@@ -181,20 +181,20 @@
 
     @property
     def is_reusable(self) -> bool:
-        """Return whether every response was left, nothing follows and the server goes on."""
+        """Return whether all responses were read, nothing follows and the server keeps it open."""
         reader = self._reader
-        is_clean = not reader.responses and not reader.is_spoiled and not self._must_close
+        is_clean = not reader.responses and not reader.is_malformed and not self._must_close
         return is_clean and self.has_no_pending_input()
 
     def interrupt(self) -> None:
-        """End the connection under a greenthread that reads it, which then sees its end.
+        """Shut the connection down; a greenthread that reads from it then sees its end.
 
-        Closing would not wake that greenthread: eventlet's hub forgets closed descriptors
-        only once their number is used again.
+        Closing would not wake that greenthread: eventlet's hub drops the listeners of a closed
+        descriptor only when its number is reused.
         """
         with contextlib.suppress(OSError):
             self._socket.shutdown(socket.SHUT_RDWR)
 
     def close(self) -> None:
-        """Close the connection; the server takes that as a cancellation."""
+        """Close the connection; the server treats that as a cancellation."""
         self._socket.close()
--- a/yarrowwall/dispatch/sender.py
+++ b/yarrowwall/dispatch/sender.py
@@ -1,7 +1,7 @@
-"""Sending an attempt to servers, one after another, until one answers it.
+"""Sends an attempt to servers, one after another, until one answers it.
 
-Owns the connection in use and the place taken at its server. Whether a further server is asked, and
-how long one is waited for, is decided in :mod:`yarrowwall.policy.sending`.
+Owns the connection in use and the slot taken at its server. Whether to try another server and how
+long to wait for an answer is decided in :mod:`yarrowwall.policy.sending`.
 """
 
 from dataclasses import dataclass
@@ -35,20 +35,20 @@
 from yarrowwall.ports.quotas import Allowance
 from yarrowwall.refusals import RefusedError
 
-#: Responses to other requests that are skipped on one connection.
+#: Maximum number of responses to other requests that are skipped on a connection.
 MAX_FOREIGN_ANSWERS = 4
 
 
 @dataclass
 class SendPlan:
-    """What is to be sent for an attempt.
-
-    :param service: the service that the route chose.
-    :param time: how long the attempt may take.
-    :param body: what servers get as the body.
-    :param allowance: the credits for its sendings.
-    :param hold: what is held for the caller.
-    :param last_server: where the program's turn before ran; empty if unknown.
+    """What to send for an attempt, and within which limits.
+
+    :param service: name of the service to send to.
+    :param time: time limit of the attempt.
+    :param body: request body for the servers.
+    :param allowance: permits of the tenant's rate limit; each send uses one.
+    :param request_memory: counts the bytes that are buffered for the request.
+    :param last_server: incarnation that ran the program's previous turn; empty if unknown.
     """
 
     attempt: Attempt
@@ -57,7 +57,7 @@
     time: RequestTime
     body: bytes
     allowance: Allowance
-    hold: MemoryHold
+    request_memory: MemoryHold
     last_server: str = ""
 
 
@@ -74,8 +74,8 @@
 class AttemptSender:
     """Sends one attempt.
 
-    :ivar rules: whether and for how long to go on.
-    :ivar current: the answer that is being read.
+    :ivar rules: decides whether to send again and how long to wait.
+    :ivar current: the answer that is being read; None between answers.
     """
 
     def __init__(self, components: DispatchComponents, plan: SendPlan) -> None:
@@ -83,9 +83,9 @@
         self._plan = plan
         self._attempt = plan.attempt
         self._last_incarnation: Incarnation | None = None
-        self._place: ServerState | None = None
-        #: Whether a server said nothing in time: kept connections may all have fallen silent.
-        self._met_silence = False
+        self._occupied_server: ServerState | None = None
+        #: Whether a server timed out; then every kept connection may be dead.
+        self._saw_timeout = False
         self.rules = SendRules(
             plan.route,
             plan.service,
@@ -99,41 +99,41 @@
 
     @property
     def last_server(self) -> str:
-        """Return the incarnation of the server that got the attempt last; empty if none did."""
+        """Return the incarnation that got the attempt last, or the previous turn if none did."""
         if self._last_incarnation is None or not self.log.sent:
             return self._plan.last_server
         return self._last_incarnation.text
 
     def left_s(self) -> float:
-        """Return the seconds left."""
+        """Return the seconds left for the attempt."""
         return self.rules.left_s(self._components.now())
 
     def refused(self, reason: str) -> RefusedError:
-        """Return the end of an attempt that no server answered."""
+        """Return the final refusal of an attempt that no server answered."""
         return RefusedError(self.rules.final_answer(reason, self._components.now()))
 
     # Memory
 
     def hold_answer_memory(self, size: int) -> None:
-        """Note that bytes of the current answer are held.
+        """Count bytes of the current answer in the memory budget.
 
-        :raises MemoryExhaustedError: if they are too many.
+        :raises MemoryExhaustedError: if the memory budget is used up.
         """
         server = self.current.send.server.incarnation_text if self.current is not None else ""
-        self._plan.hold.grow(size, server)
+        self._plan.request_memory.grow(size, server)
 
     def release_answer_memory(self, size: int) -> None:
-        """Note that bytes of the current answer were passed on and are not kept."""
+        """Note that bytes of the current answer were relayed and are not kept."""
         if self.current is not None:
-            self._plan.hold.shrink(size, self.current.send.server.incarnation_text)
+            self._plan.request_memory.shrink(size, self.current.send.server.incarnation_text)
 
     # Sending
 
     def open(self, last_event_id: str | None = None) -> OpenAnswer:
         """Send the attempt until a server answers it.
 
-        :param last_event_id: the event after which a stream goes on.
-        :raises RefusedError: if no server did.
+        :param last_event_id: the event after which a stream resumes.
+        :raises RefusedError: if no server answered.
         """
         reason = "no server is known"
         while self.rules.may_send(self._components.now()):
@@ -143,7 +143,7 @@
             try:
                 opened = self._send(choice, last_event_id)
             except RefusedError as refused:
-                raise self._without_credit(refused) from refused
+                raise self._limit_refusal(refused) from refused
             except RelayError as error:
                 reason = str(error)
                 self.note_failure(choice.server, error)
@@ -154,13 +154,13 @@
                 return opened
             reason = f"server answered {opened.answer.status}, not run"
             self._plan.allowance.not_run()
-            self._turned_away(opened)
+            self._handle_not_run(opened)
         raise self.refused(reason)
 
-    def _without_credit(self, refused: RefusedError) -> RefusedError:
-        """Return the final answer of an attempt that may not be sent (again)."""
+    def _limit_refusal(self, refused: RefusedError) -> RefusedError:
+        """Return the final refusal of an attempt that got no permit for a (further) send."""
         if self.log.may_have_run:
-            # It is not for the limit to say that the request has not run.
+            # A refusal by the limit would claim that the request has not run.
             return self.refused(refused.refusal.reason)
         return refused
 
@@ -186,15 +186,15 @@
         self.log.sent += 1
         rank = turn_rank(self._attempt, self._components.now())
         send = Send(server, self._plan.body, self.left_s(), rank, last_event_id)
-        self._note_sent(choice, send)
+        self._log_sent(choice, send)
         sent_at = self._components.now()
         if self.log.sent == 1:
             self._components.retries.earn(self._plan.service)
-        self._take_place(server)
+        self._take_slot(server)
         try:
             answer = self._exchange(connection, send)
         except BaseException:
-            self._leave_place()
+            self._free_slot()
             connection.close()
             raise
         self.current = OpenAnswer(connection, answer, send, sent_at)
@@ -202,7 +202,7 @@
 
     def _connect(self, server: Server) -> ServerConnection:
         try:
-            return self._components.pool.acquire(server, is_fresh=self._met_silence)
+            return self._components.pool.acquire(server, must_be_new=self._saw_timeout)
         except ConnectError:
             self.log.unreached += 1
             raise
@@ -221,7 +221,7 @@
         else:
             raise MalformedAnswerError("only answers to other requests")
         if answer.was_not_run:
-            # It says nothing of other servers that got the request before.
+            # This says nothing about servers that got the request earlier.
             self.log.may_have_run = may_have_run_before
         elif answer.status < 300 and not answer.is_signed:
             raise MalformedAnswerError("a success without the server's signature")
@@ -231,7 +231,7 @@
     def _wait_for_head(
         self, connection: ServerConnection, incarnation: Incarnation
     ) -> ResponseHead:
-        """Return the next response head, as long as the server is worth waiting for."""
+        """Return the next response head, waiting for it as long as the rules allow."""
         started_at = self._components.now()
         while True:
             try:
@@ -243,9 +243,9 @@
             self._components.directory.note_heard(incarnation, self._components.now())
             return head
 
-    # What became of it
+    # Outcomes
 
-    def _note_sent(self, choice: Choice, send: Send) -> None:
+    def _log_sent(self, choice: Choice, send: Send) -> None:
         self._components.decisions.write(
             decisions.AttemptSent(
                 self._attempt.attempt_id,
@@ -262,65 +262,65 @@
         )
 
     def note_failure(self, server: Server, error: RelayError) -> None:
-        """Note that a sending failed, and pass the server over unless the time was just over."""
+        """Log a failed send, and note the server's failure unless the attempt's time was over."""
         if not isinstance(error, AnswerTimeoutError) or self.left_s() > 0:
             self._components.directory.note_failure(server.incarnation, self._components.now())
         if isinstance(error, AnswerTimeoutError):
-            self._met_silence = True
+            self._saw_timeout = True
             self._components.pool.close_idle(server.incarnation)
-        self._note_send_failed(server, str(error), self.log.may_have_run)
+        self._log_send_failed(server, str(error), self.log.may_have_run)
 
-    def _note_send_failed(self, server: Server, reason: str, may_have_run: bool) -> None:
+    def _log_send_failed(self, server: Server, reason: str, may_have_run: bool) -> None:
         self._components.decisions.write(
             decisions.SendFailed(self._attempt.attempt_id, server.server_id, reason, may_have_run)
         )
 
-    def _turned_away(self, opened: OpenAnswer) -> None:
+    def _handle_not_run(self, opened: OpenAnswer) -> None:
         server = opened.send.server
-        self._note_send_failed(server, f"{opened.answer.status}", may_have_run=False)
+        self._log_send_failed(server, f"{opened.answer.status}", may_have_run=False)
         if opened.answer.status == HTTPStatus.MISDIRECTED_REQUEST:
-            # Another server has the address: the entry is false until it changes.
+            # Another server has the address now, so the entry is wrong until it changes.
             self._components.directory.note_failure(server.incarnation, self._components.now())
         else:
             self._components.directory.note_full(server.incarnation, self._components.now())
         try:
             opened.connection.read_all(self.left_s())
         except RelayError:
-            # The answer is known; its connection just can't be used again.
+            # The answer is known; only the connection can't be reused.
             self.cancel_answer()
             return
         self.finish_answer()
 
     def finish_answer(self) -> None:
-        """Leave the current answer, which was read to its end."""
+        """Finish the current answer, which was read to its end; free its slot and connection."""
         if self.current is None:
             return
         opened, self.current = self.current, None
-        self._leave_place()
+        self._free_slot()
         opened.connection.finish_response()
         self._components.pool.release(opened.send.server, opened.connection)
 
     def cancel_answer(self) -> None:
-        """Cancel the current answer at its server."""
+        """Cancel the current answer by closing its connection."""
         if self.current is None:
             return
         opened, self.current = self.current, None
-        self._leave_place()
+        self._free_slot()
         opened.connection.close()
 
-    # The place at the server
+    # The slot at the server
 
-    def _take_place(self, server: Server) -> None:
-        self._place = self._components.directory.started(server.incarnation)
-        self._tell_loads()
+    def _take_slot(self, server: Server) -> None:
+        self._occupied_server = self._components.directory.started(server.incarnation)
+        self._report_loads()
 
-    def _leave_place(self) -> None:
-        if self._place is not None:
-            self._place.running -= 1
-            self._place = None
-        self._tell_loads()
+    def _free_slot(self) -> None:
+        if self._occupied_server is not None:
+            self._occupied_server.running -= 1
+            self._occupied_server = None
+        self._report_loads()
 
-    def _tell_loads(self) -> None:
-        """Let other gateways know at once of a turn, which holds a place for long."""
+    def _report_loads(self) -> None:
+        """Report loads to other gateways at once for a turn, which occupies its slot for long."""
         if self._plan.route.kind is RequestKind.STREAM:
             self._components.loads.tell()
--- a/yarrowwall/dispatch/server_list.py
+++ b/yarrowwall/dispatch/server_list.py
@@ -1,6 +1,6 @@
-"""The list of servers as the platform's store tells it, entry by entry.
+"""The list of servers, read entry by entry from the platform store.
 
-An entry that can't be used stands for no server and leaves all others as they are.
+An entry that cannot be used yields no server and does not affect the others.
 """
 
 from collections import Counter
@@ -15,27 +15,27 @@
 from yarrowwall.ports.object_store import Change, StoredObject
 from yarrowwall.ports.platform import Documents
 
-#: Entries whose faults are remembered, so that each is told of once and not at every list.
-MAX_REMEMBERED = 1000
-#: Faults that show only beside other entries or the configuration.
-_BESIDE_OTHERS = (
+#: Maximum number of faults that are remembered to log each once and not with every list.
+MAX_LOGGED_FAULTS = 1000
+#: Faults that depend on other entries or on the configuration.
+_EXTERNAL_FAULTS = (
     EntryFault.DUPLICATE_ID,
     EntryFault.DUPLICATE_ADDRESS,
     EntryFault.UNKNOWN_SERVICE,
 )
 
 
-class _Told(NamedTuple):
-    """A fault of an entry that was told."""
+class _ReportedFault(NamedTuple):
+    """A fault of an entry that has been logged."""
 
     name: str
     fault: EntryFault
 
 
 class ServerList:
-    """Takes lists and changes of entries into a directory.
+    """Applies lists and changes of entries to a server directory.
 
-    :param services: returns the services of the configuration in force; empty before the first.
+    :param services: returns the services of the current configuration; empty before the first.
     :param now: the monotonic clock.
     """
 
@@ -52,30 +52,30 @@
         self._services = services
         self._log = log
         self._now = now
-        self._faults: set[_Told] = set()
+        self._faults: set[_ReportedFault] = set()
         self._has_listed = False
 
     def apply_list(self, items: list[StoredObject]) -> None:
-        """Take in the whole list."""
+        """Replace the directory's servers by those of a complete list."""
         servers = [server for item in items if (server := self._read(item)) is not None]
         known = {server_id: state.server for server_id, state in self._directory.states.items()}
         self._directory.replace_all(servers, self._services(), self._now())
         for name, count in Counter(item.name for item in items).items():
             if name and count > 1:
                 self._note_fault(name, EntryFault.DUPLICATE_ID, f"{count} entries")
-        # The first list is no news, and a start has other things to do than to write lines.
+        # The first list is not logged: it shows no changes, and logging would delay the start.
         for server in servers if self._has_listed else ():
-            self._tell(server, known.get(server.server_id), is_change=False)
+            self._log_change(server, known.get(server.server_id), is_change=False)
         self._has_listed = True
         for server in servers:
-            self._look_at_service(server)
-        self._look_at_addresses(servers)
+            self._check_service(server)
+        self._check_addresses(servers)
 
     def apply_change(self, change: Change) -> None:
-        """Take in one change."""
+        """Apply the change of one entry."""
         item = change.item
         if change.is_gone:
-            self._faults -= {told for told in self._faults if told.name == item.name}
+            self._faults -= {reported for reported in self._faults if reported.name == item.name}
             self._directory.remove(self._documents.server_incarnation(item), self._now())
             self._log.write(decisions.ServerChanged(item.name, "", "gone"))
             return
@@ -85,14 +85,14 @@
             return
         before = self._directory.states.get(server.server_id)
         known = before.server if before is not None else None
-        self._forget_own_faults(server.server_id)
+        self._clear_own_faults(server.server_id)
         self._directory.put(server, self._services(), self._now())
-        self._tell(server, known, is_change=True)
-        self._look_at_service(server)
-        self._look_at_addresses([server])
+        self._log_change(server, known, is_change=True)
+        self._check_service(server)
+        self._check_addresses([server])
 
     def _read(self, item: StoredObject) -> Server | None:
-        """Return the server that an entry names; None if it names none."""
+        """Return the server of an entry; None, with the fault logged, if it is unusable."""
         try:
             server = self._documents.server(item)
         except UnusableEntryError as error:
@@ -100,8 +100,8 @@
             return None
         return server
 
-    def _tell(self, server: Server, before: Server | None, is_change: bool) -> None:
-        """Write what became of a server."""
+    def _log_change(self, server: Server, before: Server | None, is_change: bool) -> None:
+        """Log a change of a server's entry."""
         if before is not None and server.incarnation.is_before(before.incarnation):
             change = "told of a life that is over"
         elif before is not None and before.incarnation.is_before(server.incarnation):
@@ -112,17 +112,17 @@
             change = "draining" if server.is_draining else "listed"
         self._log.write(decisions.ServerChanged(server.server_id, server.service, change))
 
-    def _look_at_service(self, server: Server) -> None:
-        """Tell of a service that no configuration has yet: nothing is sent there before."""
+    def _check_service(self, server: Server) -> None:
+        """Log a service that the configuration does not have; it gets no requests until it does."""
         services = self._services()
         if services and server.service not in services:
             self._note_fault(server.server_id, EntryFault.UNKNOWN_SERVICE, server.service)
 
-    def _look_at_addresses(self, servers: list[Server]) -> None:
-        """Tell of addresses that two listed servers have.
+    def _check_addresses(self, servers: list[Server]) -> None:
+        """Log addresses that two listed servers share.
 
-        Both may get requests, which name the one that is meant: an address is used again after
-        a server has gone, and whose it is only the answer shows.
+        Both may get requests, which name the intended server: an address is reused after a
+        server has gone, and only the answer shows which server has it.
         """
         holders: dict[str, list[str]] = {}
         for state in self._directory.states.values():
@@ -133,17 +133,19 @@
             if others:
                 self._note_fault(server.server_id, EntryFault.DUPLICATE_ADDRESS, others[0])
 
-    def _forget_own_faults(self, name: str) -> None:
-        """Tell anew of what is wrong with an entry that was sound meanwhile."""
+    def _clear_own_faults(self, name: str) -> None:
+        """Forget an entry's own faults once it is valid, so that later ones are logged again."""
         self._faults -= {
-            told for told in self._faults if told.name == name and told.fault not in _BESIDE_OTHERS
+            reported
+            for reported in self._faults
+            if reported.name == name and reported.fault not in _EXTERNAL_FAULTS
         }
 
     def _note_fault(self, name: str, fault: EntryFault, detail: str) -> None:
-        told = _Told(name, fault)
-        if told in self._faults:
+        reported = _ReportedFault(name, fault)
+        if reported in self._faults:
             return
-        if len(self._faults) >= MAX_REMEMBERED:
+        if len(self._faults) >= MAX_LOGGED_FAULTS:
             self._faults.clear()
-        self._faults.add(told)
+        self._faults.add(reported)
         self._log.write(decisions.EntryRefused(name[:80], fault.value, detail[:80]))
--- a/yarrowwall/dispatch/streams.py
+++ b/yarrowwall/dispatch/streams.py
@@ -1,4 +1,4 @@
-"""Relaying of event streams: each event as it comes, each once, in order."""
+"""Relays event streams: every event as it arrives, once and in order."""
 
 from collections.abc import Iterator
 from http import HTTPStatus
@@ -14,15 +14,17 @@
 
 
 class StreamBrokenError(RelayError):
-    """A stream whose beginning was passed on cannot be completed."""
+    """A stream whose first events were relayed cannot be completed."""
 
 
 class StreamRelay:
-    """One stream from its servers to its caller.
+    """Relays one stream from servers to its caller.
 
-    Only whole events are passed on. What the caller does not take holds up the reading of what
-    follows, so that stays at the server but for what the kernel holds. The stream may come from
-    one server after another if its route allows that; the caller sees one answer.
+    Only complete events are relayed. While the caller does not read, nothing more is read from the
+    server, so that only the kernel's buffers fill up. If the route allows it, another server may
+    resume the stream; the caller sees a single response.
+
+    :ivar relayed: events that were relayed; without their bytes if the route is not stateful.
     """
 
     def __init__(
@@ -38,7 +40,7 @@
         self.relayed: list[Event] = []
 
     def open(self) -> OpenAnswer:
-        """Send the attempt until a server begins to answer it.
+        """Send the attempt until a server starts to answer it.
 
         :raises RefusedError: if none does.
         """
@@ -55,10 +57,10 @@
                 state.belief.note_sent(self._attempt.prompt)
 
     def events(self) -> Iterator[list[Event]]:
-        """Return the events in the groups in which they arrive.
+        """Return the events in the batches in which they arrive.
 
         :raises RefusedError: if the stream fails before its first event.
-        :raises StreamBrokenError: if it cannot be completed.
+        :raises StreamBrokenError: if it fails later and cannot be resumed.
         """
         while True:
             try:
@@ -67,18 +69,18 @@
                 self._sender.cancel_answer()
                 self._fail(error)
             except RelayError as error:
-                self._go_on_elsewhere(error)
+                self._resume_elsewhere(error)
                 continue
             if events is None:
                 return
             if events:
-                self._note(events)
+                self._note_events(events)
                 yield events
                 if not self._route.is_stateful:
                     self._sender.release_answer_memory(sum(len(event.raw) for event in events))
 
     def _read(self) -> list[Event] | None:
-        """Return the events that arrive next; None at the end of the stream."""
+        """Return the next events; None at the end of the stream."""
         opened = self._sender.current
         if opened is None:
             raise ConnectionBrokenError("no server streams")
@@ -90,9 +92,9 @@
         return None
 
     def _receive(self, opened: OpenAnswer) -> bytes:
-        """Return the bytes that arrive next, as long as the server is worth waiting for.
+        """Return the next bytes, waiting for them as long as the rules allow.
 
-        :raises AnswerTimeoutError: if it is not, or the time is over.
+        :raises AnswerTimeoutError: if none arrive by then.
         """
         rules, incarnation = self._sender.rules, opened.send.server.incarnation
         while True:
@@ -108,7 +110,7 @@
             self._sender.hold_answer_memory(len(data))
             return data
 
-    def _note(self, events: list[Event]) -> None:
+    def _note_events(self, events: list[Event]) -> None:
         now = self._components.now()
         opened = self._sender.current
         if self.relayed and opened is not None:
@@ -116,15 +118,15 @@
             self._components.directory.note_pace(opened.send.server.incarnation, gap, now)
         self._last_event_at = now
         self._last_event_id = events[-1].event_id or self._last_event_id
-        # A turn of a stateful route is stored whole; of others only the count is needed.
+        # Turns of stateful routes are stored in full; for others the number of events suffices.
         kept = self._route.is_stateful
         self.relayed += events if kept else [Event(b"", event.event_id) for event in events]
 
-    def _go_on_elsewhere(self, error: RelayError) -> None:
+    def _resume_elsewhere(self, error: RelayError) -> None:
         """Resume the stream at another server.
 
-        :raises RefusedError: if nothing was passed on and no server goes on.
-        :raises StreamBrokenError: if something was.
+        :raises RefusedError: if no server resumes it and no event was relayed.
+        :raises StreamBrokenError: if no server resumes it after events were relayed.
         """
         opened = self._sender.current
         self._sender.cancel_answer()
@@ -149,7 +151,7 @@
         raise self._sender.refused(str(error)) from error
 
     def finish(self) -> None:
-        """Leave the stream, which was read to its end."""
+        """Finish the stream, which was read to its end."""
         self._sender.finish_answer()
 
     def cancel(self) -> None:
--- a/yarrowwall/gateway/__init__.py
+++ b/yarrowwall/gateway/__init__.py
@@ -1,6 +1,6 @@
-"""A caller's request: HTTP, keys and routes, the body, the answer or the refusal.
+"""Handling of callers' requests: HTTP, API keys, routes, request bodies and responses.
 
-A gateway relays each attempt of a caller to a server itself. No owner and no forward between
-gateways stands on the way. What must outlive a gateway (token budgets, turns of a conversation)
-goes to the replicated record store through :mod:`yarrowwall.ports.programs`.
+A gateway sends each attempt to a server directly: requests are not forwarded between gateways,
+and no gateway owns a program. State that must survive a gateway (token budgets, turns of a
+conversation) is kept in the replicated record store, see :mod:`yarrowwall.ports.programs`.
 """
--- a/yarrowwall/gateway/bodies.py
+++ b/yarrowwall/gateway/bodies.py
@@ -1,4 +1,4 @@
-"""Reads the bodies of callers' requests, each held in the memory's budget as it comes."""
+"""Reads the bodies of callers' requests and counts their bytes in the memory budget."""
 
 from http import HTTPStatus
 from typing import Any
@@ -8,12 +8,12 @@
 from yarrowwall.exceptions import CallerDisconnectedError, InvalidAttemptError
 from yarrowwall.policy.memory_budget import MemoryBudget, MemoryExhaustedError, MemoryHold
 
-#: Bytes of a body that are read at once.
-_PIECE_BYTES = 8 * 1024
+#: Bytes of a body that are read at a time.
+_READ_BYTES = 8 * 1024
 
 
 class BodyTooLargeError(InvalidAttemptError):
-    """A body has more bytes than callers may send."""
+    """A body exceeds the size limit."""
 
     def __init__(self, limit: int) -> None:
         super().__init__(f"the body exceeds {limit} bytes", HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
@@ -24,63 +24,64 @@
 
 
 class RequestBody:
-    """The body of one request, not read yet.
+    """The body of one request, read on demand.
 
     :param environ: the request's WSGI environment.
-    :param hold: what is held for the request.
-    :param limit: the most bytes that a body may have.
+    :param request_memory: counts the bytes that are buffered for the request.
+    :param limit: maximum size of the body in bytes.
     """
 
     def __init__(
-        self, environ: dict[str, Any], memory: MemoryBudget, hold: MemoryHold, limit: int
+        self, environ: dict[str, Any], memory: MemoryBudget, request_memory: MemoryHold, limit: int
     ) -> None:
         self._source = environ["wsgi.input"]
         length = environ.get("CONTENT_LENGTH")
-        self._announced = int(length) if length is not None else None
+        self._content_length = int(length) if length is not None else None
         self._is_chunked = "HTTP_TRANSFER_ENCODING" in environ
         self._memory = memory
-        self._hold = hold
+        self._request_memory = request_memory
         self._limit = limit
 
     def read(self, timeout: float) -> bytes:
         """Return the whole body.
 
-        :param timeout: seconds for all of it, however slowly the caller sends.
-        :raises BodyTooLargeError: if it is.
-        :raises MemoryExhaustedError: if there is no room for it; its rest is not read.
-        :raises BodyTimeoutError: if it is not whole in time.
-        :raises CallerDisconnectedError: if it ends early.
+        :param timeout: seconds for the whole body; arriving bytes do not extend it.
+        :raises BodyTooLargeError: if the body exceeds the limit.
+        :raises MemoryExhaustedError: if the memory budget is used up; the rest of the body is
+            not read.
+        :raises BodyTimeoutError: if the body is not complete in time.
+        :raises CallerDisconnectedError: if the connection fails or ends before the body does.
         """
-        announced = self._announced or 0
-        if announced > self._limit:
+        content_length = self._content_length or 0
+        if content_length > self._limit:
             raise BodyTooLargeError(self._limit)
-        if not self._memory.may_begin(announced):
+        if not self._memory.may_begin(content_length):
             raise MemoryExhaustedError("too much is held for other requests")
-        if not announced and not self._is_chunked:
-            # Nothing is to come, so nothing is waited for: a time-out takes 0.004 ms.
+        if not content_length and not self._is_chunked:
+            # No body follows, so no timeout is set: each takes 0.004 ms.
             return b""
         body = self._read_in_time(timeout)
-        if len(body) < announced:
+        if len(body) < content_length:
             raise CallerDisconnectedError("the body ended early")
         if len(body) > self._limit:
             raise BodyTooLargeError(self._limit)
         return body
 
     def _read_in_time(self, timeout: float) -> bytes:
-        size = self._announced if self._announced is not None else self._limit + 1
+        size = self._content_length if self._content_length is not None else self._limit + 1
         try:
             with eventlet.Timeout(timeout, BodyTimeoutError("the body did not arrive in time")):
-                return self._read_pieces(size)
+                return self._read_up_to(size)
         except TimeoutError as error:
             raise BodyTimeoutError("the body did not arrive in time") from error
         except (OSError, ValueError) as error:
             raise CallerDisconnectedError("the body did not arrive") from error
 
-    def _read_pieces(self, size: int) -> bytes:
-        """Return so many bytes of the body, or all if there are less; each is held as it comes."""
+    def _read_up_to(self, size: int) -> bytes:
+        """Return up to ``size`` bytes of the body, counted in the memory budget as they arrive."""
         pieces = []
-        while size > 0 and (piece := self._source.read(min(size, _PIECE_BYTES))):
-            self._hold.grow(len(piece))
+        while size > 0 and (piece := self._source.read(min(size, _READ_BYTES))):
+            self._request_memory.grow(len(piece))
             pieces.append(piece)
             size -= len(piece)
         return b"".join(pieces)
--- a/yarrowwall/gateway/caller_watch.py
+++ b/yarrowwall/gateway/caller_watch.py
@@ -1,4 +1,4 @@
-"""Notices that a caller has closed its connection while its request is worked on."""
+"""Detects callers that close their connection while their request is processed."""
 
 import socket
 from types import TracebackType
@@ -11,11 +11,11 @@
 
 
 class CallerWatch:
-    """Raises :class:`CallerDisconnectedError` in the entering greenthread once the caller leaves.
+    """Raises :class:`CallerDisconnectedError` in the creating greenthread if the caller leaves.
 
-    It listens by the hub itself; a greenthread that waits is started and ended once a request.
+    It registers a listener with eventlet's hub, which costs less than a greenthread per request.
 
-    :param connection: the caller's socket; nothing else may read it meanwhile.
+    :param connection: the caller's socket; nothing else may read it while this is active.
     """
 
     def __init__(self, connection: socket.socket) -> None:
@@ -26,19 +26,21 @@
         self._reason = ""
 
     def start(self) -> None:
-        """Begin to watch."""
+        """Start watching."""
         self._is_active = True
         hub = get_hub()
         try:
             fileno = self._connection.fileno()
-            self._listener = hub.add(hub.READ, fileno, self._look, self._note_closed, None)
+            self._listener = hub.add(
+                hub.READ, fileno, self._on_readable, self._on_descriptor_reused, None
+            )
         except (OSError, ValueError):
-            self._note_gone("its descriptor was closed before")
+            self._note_disconnected("the descriptor was already closed")
 
     def stop(self) -> None:
-        """Cease to watch; afterwards nothing is raised any more."""
+        """Stop watching; nothing is raised afterwards."""
         self._is_active = False
-        self._listen_no_more()
+        self._remove_listener()
 
     def __enter__(self) -> "CallerWatch":
         self.start()
@@ -52,32 +54,36 @@
     ) -> None:
         self.stop()
 
-    def _listen_no_more(self) -> None:
+    def _remove_listener(self) -> None:
         listener, self._listener = self._listener, None
         if listener is not None:
             get_hub().remove(listener)
 
-    def _look(self, fileno: int) -> None:
-        """Take in that something came; called by the hub, also once after listening has ended."""
+    def _on_readable(self, fileno: int) -> None:
+        """Check why the socket is readable.
+
+        Called by the hub, possibly once more after the listener was removed.
+        """
         if self._listener is None:
             return
-        self._listen_no_more()
+        self._remove_listener()
         try:
-            # Bytes here are the next request of a caller that pipelines; it is not gone.
+            # Bytes are the next request of a caller that pipelines: it is still connected.
             if self._peek():
                 return
         except OSError as error:
-            # A closed descriptor means that the answer is over, and nobody watches.
-            self._note_gone(str(error))
+            # The connection was reset, or its descriptor was closed after the response; then
+            # this is no longer active and nothing is raised.
+            self._note_disconnected(str(error))
             return
-        self._note_gone("half or full close")
+        self._note_disconnected("half or full close")
 
-    def _note_closed(self, error: BaseException) -> None:
-        """Take in that the descriptor has become another connection's; called by the hub."""
+    def _on_descriptor_reused(self, error: BaseException) -> None:
+        """Handle that the descriptor now belongs to another connection; called by the hub."""
         self._listener = None
-        self._note_gone("its descriptor is another connection's")
+        self._note_disconnected("the descriptor was reused for another connection")
 
-    def _note_gone(self, reason: str) -> None:
+    def _note_disconnected(self, reason: str) -> None:
         if self._is_active:
             self._reason = reason
             get_hub().schedule_call_global(0, self._raise_in_handler)
--- a/yarrowwall/gateway/components.py
+++ b/yarrowwall/gateway/components.py
@@ -1,4 +1,4 @@
-"""What all requests of a gateway share."""
+"""Components that all requests of a gateway share."""
 
 from dataclasses import dataclass, field
 
@@ -14,15 +14,15 @@
 
 @dataclass
 class GatewayComponents:
-    """What all requests of a gateway share.
+    """Components that all requests of a gateway share.
 
-    :param dispatch: the way to servers.
-    :param callers: reads callers' requests, and writes the heads of answers.
-    :param programs: budgets and turns of programs.
-    :param quotas: limits of tenants.
-    :param admission: whether there is room for new programs.
-    :param limits: bounds on what callers may send.
-    :param freshness: the age of the configuration in force.
+    :param dispatch: components for sending attempts to servers.
+    :param callers: reads callers' requests and makes the headers of responses.
+    :param programs: token budgets and turns of programs.
+    :param quotas: rate limits of tenants.
+    :param admission: decides whether new programs may begin.
+    :param limits: limits on what callers may send.
+    :param freshness: age of the current configuration.
     """
 
     dispatch: DispatchComponents
--- a/yarrowwall/gateway/exchange.py
+++ b/yarrowwall/gateway/exchange.py
@@ -1,4 +1,4 @@
-"""One request of a caller: admitted, read, and answered whole or as a stream."""
+"""Processing of one caller's request: routing, body, and a buffered or streamed response."""
 
 import traceback
 from collections.abc import Callable, Generator, Iterator
@@ -25,7 +25,7 @@
 
 
 class Exchange:
-    """One request of a caller and its answer, whose body the WSGI server iterates over."""
+    """One request and its response, whose body the WSGI server iterates over."""
 
     def __init__(
         self, gateway: GatewayState, environ: dict[str, Any], start_response: Callable[..., Any]
@@ -35,7 +35,7 @@
         self._log = gateway.components.dispatch.decisions
         self._now = gateway.components.dispatch.now
         self._environ = environ
-        self._hold = gateway.components.dispatch.memory.open()
+        self._request_memory = gateway.components.dispatch.memory.open()
         self._response = Response(
             gateway.components, environ, start_response, lambda: gateway.should_close_connections
         )
@@ -45,15 +45,15 @@
         gateway.active_requests.add(self)
 
     def __iter__(self) -> Iterator[bytes]:
-        """Return the body of the answer."""
+        """Return the body of the response."""
         return self._body
 
     def close(self) -> None:
-        """Take in that the answer was written, or ends early; cancels whatever runs then.
+        """End the request: cancel work that still runs, and log a response that ended early.
 
-        The WSGI server calls this once, behind the last write.
+        The WSGI server calls this once, after the last write.
         """
-        held = self._hold.size
+        held = self._request_memory.size
         try:
             self._body.close()
         finally:
@@ -61,7 +61,7 @@
             self._response.note_ended(held)
 
     def apply_routes(self, table: RouteTable) -> None:
-        """Take in the routes that are in force from now on."""
+        """Update the request's time limit from a new route table."""
         if self._attempt is None or self._time is None:
             return
         route = table.match(self._attempt.host, self._attempt.path)
@@ -69,35 +69,35 @@
             self._time.note_route_s(route.timeout_s)
 
     def note_process_ended(self) -> None:
-        """Log that the end of the process ends the request."""
+        """Log that the request ends because the process does."""
         self._response.note_process_ended()
 
     def _run(self) -> Generator[bytes, None, None]:
-        """Return the body of the answer; cancels whatever runs if it is closed early."""
+        """Return the body of the response; closing it early cancels the request."""
         response = self._response
         watch = CallerWatch(self._environ["eventlet.input"].get_socket())
         try:
             yield from self._answer(watch)
             response.is_complete = True
         except CallerDisconnectedError as error:
-            self._note_left(str(error))
+            self._log_disconnect(str(error))
             end_connection()
         except AnswerAbortedError:
-            response.is_end_told = True
+            response.is_end_logged = True
             raise
         except (Exception, eventlet.Timeout):
-            response.is_end_told = True
+            response.is_end_logged = True
             trace = traceback.format_exc()
             self._log.write(decisions.InternalFault(response.attempt_id, trace))
             raise
         finally:
             watch.stop()
-            self._hold.close()
+            self._request_memory.close()
 
-    def _note_left(self, reason: str) -> None:
+    def _log_disconnect(self, reason: str) -> None:
         response = self._response
-        if not response.is_end_told:
-            response.is_end_told = True
+        if not response.is_end_logged:
+            response.is_end_logged = True
             left = decisions.CallerLeft(response.attempt_id, response.lasted_s, reason)
             self._log.write(left)
 
@@ -119,40 +119,44 @@
             yield self._response.refuse(error.refusal)
             return
         watch.start()
-        self._note_admitted(attempt, route, time.end)
+        self._log_admitted(attempt, route, time.end)
         try:
             if not self._gateway.has_time_for(self._now(), time.end):
                 raise unavailable("stopping", SHORTAGE_SECONDS)
             if route.kind is RequestKind.STREAM:
-                yield from self._stream(attempt, route, time)
+                yield from self._relay_stream(attempt, route, time)
             else:
-                yield self._whole(attempt, route, time)
+                yield self._relay_buffered(attempt, route, time)
         except RefusedError as error:
             yield self._response.refuse(error.refusal)
 
     def _read_body(self, end: float) -> bytes:
         """Return the body of the request.
 
-        :param end: when the request's time is over, and that of a caller that sends slowly.
-        :raises RefusedError: if there is no room for it.
+        :param end: when the request's time is over, which also bounds the reading of its body.
+        :raises RefusedError: if the memory budget is used up.
         """
         limit = self._components.limits.current.body_bytes
-        body = RequestBody(self._environ, self._components.dispatch.memory, self._hold, limit)
+        body = RequestBody(
+            self._environ, self._components.dispatch.memory, self._request_memory, limit
+        )
         try:
             return body.read(max(end - self._now(), 0.0))
         except MemoryExhaustedError as error:
-            # The rest of it is not read.
+            # The rest of the body stays unread, so the connection cannot be kept.
             close_after_answer(self._environ)
             raise unavailable(str(error), SHORTAGE_SECONDS) from error
         except BodyTimeoutError:
             response = self._response
-            response.is_end_told = True
+            response.is_end_logged = True
             self._log.write(
-                decisions.CallerGivenUp(response.attempt_id, response.lasted_s, self._hold.size)
+                decisions.CallerGivenUp(
+                    response.attempt_id, response.lasted_s, self._request_memory.size
+                )
             )
             raise
 
-    def _note_admitted(self, attempt: Attempt, route: Route, end: float) -> None:
+    def _log_admitted(self, attempt: Attempt, route: Route, end: float) -> None:
         table = self._gateway.table
         self._log.write(
             decisions.AttemptAdmitted(
@@ -169,22 +173,24 @@
             )
         )
 
-    def _whole(self, attempt: Attempt, route: Route, time: RequestTime) -> bytes:
+    def _relay_buffered(self, attempt: Attempt, route: Route, time: RequestTime) -> bytes:
         if attempt.program is not None:
             self._components.program_sizes.note_lookup()
         allowance = self._components.quotas.allowance(attempt)
         allowance.begin()
         try:
             service = self._gateway.router.service_for(route)
-            plan = SendPlan(attempt, route, service, time, attempt.body, allowance, self._hold)
+            plan = SendPlan(
+                attempt, route, service, time, attempt.body, allowance, self._request_memory
+            )
             sender = AttemptSender(self._components.dispatch, plan)
             answer, body = relay_buffered(self._components.dispatch, route, sender)
-            return self._response.pass_on(answer, body, sender.log.tried[-1])
+            return self._response.start_buffered(answer, body, sender.log.tried[-1])
         finally:
             allowance.close()
 
-    def _stream(self, attempt: Attempt, route: Route, time: RequestTime) -> Iterator[bytes]:
-        turn = Turn(self._gateway, attempt, route, time, self._hold, self._response)
+    def _relay_stream(self, attempt: Attempt, route: Route, time: RequestTime) -> Iterator[bytes]:
+        turn = Turn(self._gateway, attempt, route, time, self._request_memory, self._response)
         loads = self._components.dispatch.loads.ask()
         allowance = self._components.quotas.allowance(attempt)
         allowance.begin()
@@ -196,7 +202,7 @@
 
 
 def _finish_in_s(attempt: Attempt) -> float | None:
-    """Return the seconds that an attempt's program had left when it arrived."""
+    """Return the seconds until an attempt's program should finish, counted from its arrival."""
     if attempt.program is None or attempt.program.finish_at is None:
         return None
     return attempt.program.finish_at - attempt.arrived_at
--- a/yarrowwall/gateway/gateway.py
+++ b/yarrowwall/gateway/gateway.py
@@ -8,7 +8,7 @@
 
 
 class Gateway(GatewayState):
-    """Answers callers' attempts from the servers."""
+    """Relays callers' attempts to servers."""
 
     def __call__(
         self, environ: dict[str, Any], start_response: Callable[..., Any]
--- a/yarrowwall/gateway/http_server.py
+++ b/yarrowwall/gateway/http_server.py
@@ -1,4 +1,4 @@
-"""The callers' listener: eventlet's WSGI server with limits that follow the configuration."""
+"""HTTP server for callers: eventlet's WSGI server with limits from the current configuration."""
 
 import io
 import socket
@@ -11,91 +11,90 @@
 from yarrowwall import decisions
 from yarrowwall.decisions import DecisionLog
 from yarrowwall.exceptions import CallerDisconnectedError
-from yarrowwall.gateway.endings import Ending, EndReason
+from yarrowwall.gateway.connection_ends import ConnectionEnd, ConnectionEndReason
 from yarrowwall.model import CallerLimits
 from yarrowwall.sockets import receive, send_some
 
-#: Key of the environment under which the application finds the connection's handler.
+#: Key of the WSGI environment that holds the connection's protocol handler.
 PROTOCOL_KEY = "yarrowwall.connection"
-#: Seconds in which a caller takes nothing of an answer that is held whole, after which it is
-#: given up.
-WRITE_SECONDS = 10.0
-#: Seconds after which servers cut off an answer that sits unread: some, by what they promise.
-SERVER_CUT_SECONDS = 4.0
-#: The same as above for a stream, half of that: what its caller does not take sits unread at the
-#: server, and a cut there can't be told from a server that failed.
-STREAM_WRITE_SECONDS = 0.5 * SERVER_CUT_SECONDS
-#: Bytes that the kernel holds of an answer for one caller. By itself it would hold up to 4 MB,
-#: which counts as the machine's memory; 64 KB are 5 ms at 100 Mbit/s.
+#: Write timeout for buffered responses: a caller that reads nothing for so long is disconnected.
+WRITE_TIMEOUT_SECONDS = 10.0
+#: Seconds after which some servers, as they document, cut off a response that is not read.
+SERVER_WRITE_TIMEOUT_SECONDS = 4.0
+#: Write timeout for streams, half of the servers' limit: what the caller does not read stays
+#: unread at the server, and a stream that the server cuts off looks like a failed server.
+STREAM_WRITE_TIMEOUT_SECONDS = 0.5 * SERVER_WRITE_TIMEOUT_SECONDS
+#: Size of the kernel's send buffer per caller. By default it grows to 4 MB, which counts towards
+#: the machine's memory; 64 KB last for 5 ms at 100 Mbit/s.
 SEND_BUFFER_BYTES = 64 * 1024
 _MAX_CONNECTIONS = 3000
 _EMPTY_LINES = (b"\r\n", b"\n")
 
 
 class _CallerWriter(io.RawIOBase):
-    """Writes answers to a caller; the time-out counts anew whenever it takes something.
+    """Writes responses to a caller; the timeout restarts whenever the caller reads something.
 
-    :ivar failure: what ended a write; None as long as all were whole.
+    :ivar failure: why a write failed; None if none did.
     """
 
     def __init__(self, connection: socket.socket) -> None:
         self._connection = connection
-        self.failure: Ending | None = None
+        self.failure: ConnectionEnd | None = None
 
     def writable(self) -> bool:
-        """Return that this may be written to."""
+        """Return True."""
         return True
 
     def write(self, data: Any) -> int:
-        """Send all of some bytes."""
+        """Send all bytes of ``data``."""
         try:
             rest = memoryview(data)
             while rest:
                 rest = rest[send_some(self._connection, rest) :]
         except TimeoutError:
-            self.failure = Ending(EndReason.NOT_TAKEN)
+            self.failure = ConnectionEnd(ConnectionEndReason.NOT_TAKEN)
             raise
         except OSError as error:
-            self.failure = Ending(EndReason.WRITE_FAILED, str(error))
+            self.failure = ConnectionEnd(ConnectionEndReason.WRITE_FAILED, str(error))
             raise
         except CallerDisconnectedError:
-            self.failure = Ending(EndReason.LEFT_WHILE_WRITING)
+            self.failure = ConnectionEnd(ConnectionEndReason.LEFT_WHILE_WRITING)
             raise
         return len(data)
 
     def writelines(self, lines: Iterable[Any]) -> None:
-        """Send the pieces of an answer as one."""
+        """Send the pieces of a response in one write."""
         self.write(b"".join(lines))
 
 
 class _CallerReader(io.RawIOBase):
-    """Reads requests; a time-out counts only if nothing is there to read."""
+    """Reads requests; the timeout takes effect only if no bytes have arrived."""
 
     def __init__(self, connection: socket.socket) -> None:
         self._connection = connection
 
     def readable(self) -> bool:
-        """Return that this may be read."""
+        """Return True."""
         return True
 
     def readinto(self, buffer: Any) -> int:
-        """Take in the bytes that arrive next; none at the end of the connection.
+        """Read the next bytes into a buffer; return 0 at the end of the connection.
 
-        :raises TimeoutError: if none arrive in time.
+        :raises TimeoutError: if no bytes arrive in time.
         """
         try:
             data = receive(self._connection, len(buffer), self._connection.gettimeout())
         except ConnectionError:
-            # A reset ends a request as an orderly end does.
+            # A reset ends the request like an orderly close.
             data = b""
         buffer[: len(data)] = data
         return len(data)
 
 
 class _HeadReader:
-    """Reads the lines of a head.
+    """Reads the lines of a request head.
 
-    :ivar last: the line that was read last.
+    :ivar last: the most recent line.
     """
 
     def __init__(self, source: Any) -> None:
@@ -103,29 +102,29 @@
         self.last = b""
 
     def readline(self, size: int = -1) -> bytes:
-        """Return the next line; without its end if the connection ended within it."""
+        """Return the next line; without a line feed if the connection ended within it."""
         self.last = self._source.readline(size)
         return self.last
 
 
 class CurrentCallerLimits:
-    """Limits that every connection looks up anew for each request."""
+    """Holds the current limits, which connections read again for each request."""
 
     def __init__(self) -> None:
         self.current = CallerLimits()
 
 
 def _protocol_class(limits: CurrentCallerLimits, log: DecisionLog) -> type:
-    """Return the handler class of a server whose limits are ``limits``."""
+    """Return a protocol handler class that applies ``limits``."""
 
     class GatewayProtocol(eventlet.wsgi.HttpProtocol):
-        """A connection whose waits are bounded by the configuration in force."""
+        """A connection whose timeouts come from the current configuration."""
 
         rfile: Any
         wfile: Any
         close_connection: bool | int
-        #: When the head that is being read began; None while none is.
-        _head_since: float | None = None
+        #: When the request head that is being read began to arrive; None between heads.
+        _head_started_at: float | None = None
 
         def setup(self) -> None:
             super().setup()
@@ -138,64 +137,64 @@
             try:
                 super().handle_one_request()
             except TimeoutError:
-                self._note_head_ended(EndReason.HEAD_LATE)
+                self._log_unfinished_head(ConnectionEndReason.HEAD_LATE)
                 raise
-            self._note_head_ended(EndReason.HEAD_REFUSED)
+            self._log_unfinished_head(ConnectionEndReason.HEAD_REFUSED)
 
         def parse_request(self) -> bool:
             self.rfile = reader = _HeadReader(self.rfile)
             if not super().parse_request():
                 return False
-            # The library takes the end of a connection for the end of a head.
+            # The library treats the end of the connection as the end of the head.
             is_whole = reader.last in _EMPTY_LINES
             if not is_whole:
                 self.close_connection = True
             return is_whole
 
-        def _note_head_ended(self, reason: EndReason) -> None:
-            if self._head_since is not None:
-                lasted_s = time.monotonic() - self._head_since
-                self._head_since = None
+        def _log_unfinished_head(self, reason: ConnectionEndReason) -> None:
+            if self._head_started_at is not None:
+                lasted_s = time.monotonic() - self._head_started_at
+                self._head_started_at = None
                 log.write(decisions.ConnectionEnded("", reason, lasted_s, 0, ""))
 
         def _read_request_line(self) -> bytes:
             self.connection.settimeout(limits.current.idle_seconds)
             line: bytes = super()._read_request_line()
-            self._head_since = time.monotonic() if line else None
+            self._head_started_at = time.monotonic() if line else None
             self.connection.settimeout(limits.current.header_seconds)
             return line
 
         def get_environ(self) -> dict[str, Any]:
             environ: dict[str, Any] = super().get_environ()
-            self._head_since = None
+            self._head_started_at = None
             environ[PROTOCOL_KEY] = self
-            self.connection.settimeout(WRITE_SECONDS)
+            self.connection.settimeout(WRITE_TIMEOUT_SECONDS)
             return environ
 
     return GatewayProtocol
 
 
 def close_after_answer(environ: dict[str, Any]) -> None:
-    """Let the answer carry ``Connection: close`` and end the connection behind it."""
+    """Send ``Connection: close`` with the response, and close the connection after it."""
     environ[PROTOCOL_KEY].close_connection = 1
 
 
 def end_connection() -> None:
-    """Let the connection end behind what was written, without an end of the answer.
+    """Close the connection after what was written, without completing the response.
 
-    The WSGI server would begin an answer of its own, if none was begun.
+    Otherwise the WSGI server would send its own response if none was started.
     """
     eventlet.wsgi.WSGI_LOCAL.already_handled = True
 
 
-def expect_stream_read(environ: dict[str, Any]) -> None:
-    """Give the caller up soon if it takes nothing of a stream."""
-    environ[PROTOCOL_KEY].connection.settimeout(STREAM_WRITE_SECONDS)
+def set_stream_write_timeout(environ: dict[str, Any]) -> None:
+    """Set the write timeout for streams on a request's connection."""
+    environ[PROTOCOL_KEY].connection.settimeout(STREAM_WRITE_TIMEOUT_SECONDS)
 
 
-def write_failure(environ: dict[str, Any]) -> Ending | None:
-    """Return what ended the writing of an answer; None if all of it was taken."""
-    failure: Ending | None = environ[PROTOCOL_KEY].wfile.failure
+def write_failure(environ: dict[str, Any]) -> ConnectionEnd | None:
+    """Return why writing the response failed; None if no write failed."""
+    failure: ConnectionEnd | None = environ[PROTOCOL_KEY].wfile.failure
     return failure
 
 
--- a/yarrowwall/gateway/keys.py
+++ b/yarrowwall/gateway/keys.py
@@ -1,4 +1,4 @@
-"""Callers' keys: who holds them, and how they are told apart without being shown."""
+"""Callers' API keys: fingerprints for logs, and changes between configurations."""
 
 import hashlib
 from collections.abc import Iterator
@@ -6,17 +6,17 @@
 
 from yarrowwall.model import Configuration
 
-#: Bytes of a fingerprint: enough to tell some ten thousand keys apart, too few to guess one by.
+#: Bytes of a fingerprint: enough to distinguish some ten thousand keys, too few to derive one.
 FINGERPRINT_BYTES = 4
 
 
 def fingerprint(api_key: str) -> str:
-    """Return what stands for a key in logs."""
+    """Return the fingerprint that logs show in place of a key."""
     return hashlib.blake2s(api_key.encode(), digest_size=FINGERPRINT_BYTES).hexdigest()
 
 
 class KeyChange(NamedTuple):
-    """The keys that a configuration gives to a tenant or takes away, by fingerprint."""
+    """Fingerprints of the keys that a configuration adds to a tenant or removes from it."""
 
     tenant: str
     added: list[str]
@@ -24,7 +24,7 @@
 
 
 def key_changes(before: Configuration | None, after: Configuration) -> Iterator[KeyChange]:
-    """Return how the keys of two configurations differ; nothing for the first one."""
+    """Return the changes of keys by tenant; none if there was no configuration before."""
     if before is None:
         return
     known = {tenant.name: set(tenant.api_keys) for tenant in before.tenants or ()}
--- a/yarrowwall/gateway/state.py
+++ b/yarrowwall/gateway/state.py
@@ -1,4 +1,4 @@
-"""A gateway's state: the configuration in force, whether callers are welcome, its stop."""
+"""State of a gateway: current configuration, active requests, and its shutdown."""
 
 from typing import Protocol
 
@@ -11,28 +11,29 @@
 from yarrowwall.gateway.routing import RouteTable
 from yarrowwall.model import Configuration
 
-#: Seconds after a stop was asked for in which every request is taken: clients still come.
-STOP_WELCOME_SECONDS = 3.0
-#: Seconds from a process's start in which a request waits for the first reading of the
-#: platform's store. The reading takes 0.02 s if the store answers at once; beyond this the
-#: store is slow or away, and callers are better told to come back.
+#: Seconds after the start of a shutdown for which every request is accepted, since clients keep
+#: sending new ones.
+STOP_GRACE_SECONDS = 3.0
+#: Seconds after the start of the process for which requests wait for the first read of the
+#: platform store. The read takes 0.02 s if the store answers at once; if it takes longer, the
+#: store is slow or unreachable, and callers are refused with a time to retry after.
 START_HOLD_SECONDS = 0.4
 
 
 class ActiveRequest(Protocol):
-    """A request under way."""
+    """A request that is being processed."""
 
     def apply_routes(self, table: RouteTable) -> None:
-        """Take in the routes that are in force from now on."""
+        """Update the request's time limit from a new route table."""
 
     def note_process_ended(self) -> None:
-        """Log that the end of the process ends the request."""
+        """Log that the request ends because the process does."""
 
 
 class GatewayState:
-    """What a gateway knows, and whether it takes requests.
+    """Configuration and active requests of a gateway, and whether it accepts new ones.
 
-    :ivar active_requests: requests whose answers are not written to their end.
+    :ivar active_requests: requests whose responses are not completely written.
     """
 
     def __init__(self, components: GatewayComponents) -> None:
@@ -46,15 +47,15 @@
         self._initial_load = Event()
 
     def note_initial_load(self) -> None:
-        """Note that configuration, servers and replicas were read for the first time."""
+        """Note that configuration, servers and replicas have been read once."""
         if not self._initial_load.ready():
             self._initial_load.send()
 
     def wait_for_initial_load(self) -> None:
-        """Hold a request that came before the first reading, for a moment at most.
+        """Wait for the first read of the store, until ``START_HOLD_SECONDS`` after the start.
 
-        Right after a start callers may have tried once already, and a refusal would end
-        their programs.
+        Right after a restart, callers may have failed once already and would end their programs
+        at a second refusal.
         """
         left = self._holds_until - self._now()
         if left > 0.0 and not self._initial_load.ready():
@@ -62,60 +63,64 @@
 
     @property
     def table(self) -> RouteTable | None:
-        """Return the routes and keys in force; None before the first configuration."""
+        """Return the current routes and keys; None before the first configuration."""
         return self.router.table
 
     @property
     def is_stopping(self) -> bool:
-        """Return whether the process was asked to stop."""
+        """Return whether the gateway is shutting down."""
         return self._stops_at is not None
 
     @property
     def should_close_connections(self) -> bool:
-        """Return whether callers had better come back through another gateway.
+        """Return whether callers should reconnect to another gateway.
 
-        One that is out of the replicas' reach can run no turn, one whose configuration is
-        too old serves no key, and callers stay with a connection for as long as it is kept.
+        That is so during shutdown, while the replicas are unreachable and no turn can run, and
+        while the configuration is too old to accept keys. Callers keep using a connection until
+        it is closed.
         """
         is_able = self.components.programs.is_reachable and self.serves_keys
         return self.is_stopping or not is_able
 
     @property
     def configuration_age_s(self) -> float:
-        """Return the seconds since the configuration in force was proved to be the newest."""
+        """Return the seconds since the current configuration was last verified to be the newest."""
         return self.components.freshness.age_s(self._now())
 
     @property
     def serves_keys(self) -> bool:
-        """Return whether the configuration is fresh enough for callers with keys, if any."""
+        """Return whether no keys are needed or the configuration is fresh enough for them."""
         needs_keys = self.table is not None and self.table.needs_keys
         return not needs_keys or self.components.freshness.may_serve_keys(self._now())
 
     def stop(self, now: float, stops_at: float) -> None:
-        """Close connections behind their answers; later take only what ends in time.
+        """Start the shutdown.
 
-        :param stops_at: when the process ends, whatever runs then.
+        Connections are closed after their responses. After ``STOP_GRACE_SECONDS`` only requests
+        that end before the process does are accepted.
+
+        :param stops_at: when the process ends, even if requests are active then.
         """
         self._stops_at = stops_at
-        self._refuses_from = now + STOP_WELCOME_SECONDS
+        self._refuses_from = now + STOP_GRACE_SECONDS
 
     @property
     def running(self) -> int:
-        """Return how many requests are under way."""
+        """Return the number of active requests."""
         return len(self.active_requests)
 
     def note_process_ended(self) -> None:
-        """Log which requests the end of the process ends."""
+        """Log the requests that end because the process does."""
         for request in self.active_requests:
             request.note_process_ended()
 
     def has_time_for(self, now: float, end: float) -> bool:
-        """Return whether a request that may last until ``end`` is still taken."""
+        """Return whether a request that may last until ``end`` is accepted."""
         is_welcome = self._stops_at is None or now < self._refuses_from
         return is_welcome or end <= (self._stops_at or end)
 
     def apply_configuration(self, configuration: Configuration) -> bool:
-        """Take a configuration unless it is older than the one in force."""
+        """Apply a configuration if it is newer than the current one; return whether it is."""
         if self.table is not None and configuration.version <= self.table.configuration.version:
             return False
         before = self.table.configuration if self.table is not None else None
--- a/yarrowwall/gateway/turn.py
+++ b/yarrowwall/gateway/turn.py
@@ -1,4 +1,4 @@
-"""One turn of a program: granted by the record store, welcome at the servers, streamed."""
+"""One turn of a program: granted by the record store, admitted, and streamed to the caller."""
 
 from collections.abc import Iterator
 from contextlib import ExitStack
@@ -27,14 +27,14 @@
 
 
 class AnswerAbortedError(Exception):
-    """Raised through the WSGI server so that it closes the connection without an end."""
+    """Makes the WSGI server close the connection without completing the response."""
 
 
 class Turn:
     """One attempt at a turn.
 
-    :param time: how long the attempt may take.
-    :param hold: what is held for the caller.
+    :param time: time limit of the attempt.
+    :param request_memory: counts the bytes that are buffered for the request.
     """
 
     def __init__(
@@ -43,7 +43,7 @@
         attempt: Attempt,
         route: Route,
         time: RequestTime,
-        hold: MemoryHold,
+        request_memory: MemoryHold,
         response: Response,
     ) -> None:
         self._gateway = gateway
@@ -51,14 +51,14 @@
         self._attempt = attempt
         self._route = route
         self._time = time
-        self._hold = hold
+        self._request_memory = request_memory
         self._response = response
         self._service = gateway.router.main_service(route)
 
     def open(self) -> TurnGrant:
-        """Return the record store's leave to run the turn.
+        """Return the record store's grant to run the turn.
 
-        :raises RefusedError: if it gives none.
+        :raises RefusedError: if the store grants none.
         """
         engine = self._service.engine if self._service is not None else None
         tokens_per_event = engine.tokens_per_event if engine is not None else 1
@@ -77,35 +77,36 @@
             raise unavailable(str(error), after_s) from error
 
     def run(self, grant: TurnGrant, allowance: Allowance, loads: LoadQuestion) -> Iterator[bytes]:
-        """Return the stream.
+        """Return the body of the streamed response.
 
-        :param loads: waited for before a server is chosen.
+        :param loads: the loads of other gateways, awaited before a server is chosen.
         :raises RefusedError: if no server runs the turn.
-        :raises AnswerAbortedError: if it breaks off once its beginning was passed on.
+        :raises AnswerAbortedError: if the stream fails after its first events were relayed.
         """
         sender = self._sender(grant, allowance)
         relay = StreamRelay(self._components.dispatch, self._attempt, self._route, sender)
-        under_way = ExitStack()
+        exit_stack = ExitStack()
         try:
             loads.wait()
-            self._hold_turns_before(grant)
-            self._begin_program(grant, allowance)
-            under_way.enter_context(self._components.admission.turn(self._attempt, self._service))
+            self._count_previous_turns(grant)
+            self._admit_program(grant, allowance)
+            exit_stack.enter_context(self._components.admission.turn(self._attempt, self._service))
             opened = relay.open()
             if opened.answer.status != HTTPStatus.OK:
-                yield self._pass_on_failure(opened.answer, sender)
+                yield self._relay_failure(opened.answer, sender)
                 return
             for events in relay.events():
                 grant.cover(relay.relayed)
                 if len(events) == len(relay.relayed):
-                    self._response.begin_stream(opened.answer)
-                self._response.note_given(len(events))
+                    self._response.start_stream(opened.answer)
+                self._response.note_output(len(events))
                 yield b"".join(event.raw for event in events)
-            # Its server has done its part, however long the store takes.
+            # The server is done; its slot is freed before the store is written, which may take
+            # long.
             relay.finish()
             grant.complete(relay.relayed, sender.last_server)
             if not relay.relayed:
-                self._response.begin_stream(opened.answer)
+                self._response.start_stream(opened.answer)
             self._response.note_answered(HTTPStatus.OK, sender.log.tried[-1], len(relay.relayed))
         except (StreamBrokenError, StoreUncertainError) as error:
             self._components.dispatch.decisions.write(
@@ -113,7 +114,7 @@
             )
             raise AnswerAbortedError from None
         finally:
-            under_way.close()
+            exit_stack.close()
             relay.cancel()
             grant.close(relay.relayed, sender.last_server)
 
@@ -126,40 +127,40 @@
             self._time,
             grant.body,
             allowance,
-            self._hold,
+            self._request_memory,
             grant.last_server,
         )
         return AttemptSender(self._components.dispatch, plan)
 
-    def _hold_turns_before(self, grant: TurnGrant) -> None:
-        """Count what a turn's body has beyond what its caller sent.
+    def _count_previous_turns(self, grant: TurnGrant) -> None:
+        """Count the previous turns, which the store added to the body, in the memory budget.
 
-        :raises RefusedError: if there is no room for it.
+        :raises RefusedError: if the memory budget is used up.
         """
         try:
-            self._hold.grow(max(0, len(grant.body) - len(self._attempt.body)))
+            self._request_memory.grow(max(0, len(grant.body) - len(self._attempt.body)))
         except MemoryExhaustedError as error:
             raise unavailable(str(error), SHORTAGE_SECONDS) from error
 
-    def _begin_program(self, grant: TurnGrant, allowance: Allowance) -> None:
-        """Ask whether a turn's program is welcome, if it is the first one.
+    def _admit_program(self, grant: TurnGrant, allowance: Allowance) -> None:
+        """Request the admission of the turn's program if this is its first turn.
 
-        There is to be room for it at the servers and in its tenant's limit.
+        A program is admitted if the servers have capacity for it and its tenant's limit allows it.
 
-        :raises RefusedError: if it is not.
+        :raises RefusedError: if it is not admitted.
         """
         if self._attempt.program is None:
             return
         if grant.is_first:
-            self._ask_for_room(grant, allowance)
+            self._request_admission(grant, allowance)
         self._components.program_sizes.note_turn(self._route.name, grant.is_first)
 
-    def _ask_for_room(self, grant: TurnGrant, allowance: Allowance) -> None:
+    def _request_admission(self, grant: TurnGrant, allowance: Allowance) -> None:
         sizes, service = self._components.program_sizes, self._service
         if service is None or service.engine is None:
             allowance.begin_program(sizes.expected(self._route.name))
             return
-        # A lender counts each program that it welcomes, so the servers' room goes first.
+        # The permit issuer counts every program it admits, so the servers' capacity comes first.
         turns = sizes.expected_turns(self._route.name)
         new = NewProgram(self._attempt, service, turns, grant.is_continued)
         self._components.admission.begin_program(new)
@@ -169,10 +170,10 @@
             self._components.admission.did_not_begin(new)
             raise
 
-    def _pass_on_failure(self, answer: Answer, sender: AttemptSender) -> bytes:
-        """Begin a server's answer that is no stream; return its body.
+    def _relay_failure(self, answer: Answer, sender: AttemptSender) -> bytes:
+        """Start a response with a server's answer other than 200; return its body.
 
-        :raises RefusedError: if it breaks off.
+        :raises RefusedError: if the answer breaks off.
         """
         opened = sender.current
         try:
@@ -183,4 +184,4 @@
                 sender.note_failure(opened.send.server, error)
             raise sender.refused(str(error)) from error
         sender.finish_answer()
-        return self._response.pass_on(answer, body, sender.log.tried[-1])
+        return self._response.start_buffered(answer, body, sender.log.tried[-1])
