--- a/yarrowwall/event_stream.py
+++ b/yarrowwall/event_stream.py
@@ -1,4 +1,4 @@
-"""Splitting of an event stream into whole events."""
+"""Splitting of server-sent event streams into complete events."""
 
 import re
 from dataclasses import dataclass
@@ -10,9 +10,9 @@
 
 @dataclass(frozen=True)
 class Event:
-    """One whole event as it came.
+    """One complete event.
 
-    :param raw: its bytes with the empty line behind.
+    :param raw: its bytes, including the empty line at its end.
     :param event_id: its id; None if it has none.
     """
 
@@ -26,18 +26,18 @@
 
 
 class EventSplitter:
-    """Collects bytes and returns the events that have become whole."""
+    """Buffers bytes and returns the events that are complete."""
 
     def __init__(self) -> None:
         self._rest = b""
 
     @property
     def rest(self) -> bytes:
-        """Return the bytes of an event that is not whole yet."""
+        """Return the bytes of an incomplete event."""
         return self._rest
 
     def feed(self, data: bytes) -> list[Event]:
-        """Take in bytes and return the events that end in them."""
+        """Add bytes and return the events that they complete."""
         buffer = self._rest + data
         events = []
         start = 0
--- a/yarrowwall/exceptions.py
+++ b/yarrowwall/exceptions.py
@@ -1,6 +1,6 @@
-"""Root of the exception tree, and the errors that several layers share.
+"""Base class of all exceptions, and exceptions that several layers share.
 
-Every layer derives its own base from :class:`YarrowwallError` and converts what it catches from
+Every layer derives its own base class from :class:`YarrowwallError` and converts exceptions of
 the layer below.
 """
 
@@ -8,13 +8,13 @@
 
 
 class YarrowwallError(Exception):
-    """Base of every error this project raises on purpose."""
+    """Base class of all exceptions that this project raises."""
 
 
 class SettingsError(YarrowwallError):
-    """A settings file has faults.
+    """A settings file is invalid.
 
-    :param faults: one line a fault: key, value and what is allowed.
+    :param faults: one line per fault: key, value and what is allowed.
     """
 
     def __init__(self, faults: list[str]) -> None:
@@ -23,27 +23,27 @@
 
 
 class RelayError(YarrowwallError):
-    """Base of the errors of a request's way through a gateway."""
+    """Base class of errors in processing a request at a gateway."""
 
 
 class ConnectError(RelayError):
-    """No connection to a server came about; nothing was sent."""
+    """A connection to a server could not be opened; nothing was sent."""
 
 
 class ConnectTimeoutError(ConnectError):
-    """No connection came up in time: the server is silent, or its machine dark."""
+    """A connection could not be opened in time; the server or its machine may be unreachable."""
 
 
 class ConnectionBrokenError(RelayError):
-    """A connection ended or failed before the answer was whole; the request may have run."""
+    """A connection ended or failed before the answer was complete; the request may have run."""
 
 
 class AnswerTimeoutError(RelayError):
-    """The answer did not come in time; the request may have run."""
+    """The answer did not arrive in time; the request may have run."""
 
 
 class MalformedAnswerError(RelayError):
-    """A server sent bytes that are no answer to this request; the request may have run."""
+    """A server sent bytes that do not answer this request; the request may have run."""
 
 
 class InvalidAttemptError(RelayError):
@@ -58,15 +58,15 @@
 
 
 class CallerDisconnectedError(YarrowwallError):
-    """The caller closed its connection; its attempt is to be cancelled.
+    """The caller closed its connection; its attempt must be cancelled.
 
-    Raised in the middle of whatever is done for the caller. It is no :class:`RelayError`, so that
-    nothing takes it for a server's failure and asks the next one.
+    It may be raised at any point of the request's processing. It is not a :class:`RelayError`, so
+    that it is not handled as a server's failure and the next server is not tried.
     """
 
 
 class EntryFault(StrEnum):
-    """What is wrong with an entry of the list of servers."""
+    """What is wrong with an entry of the server list."""
 
     UNREADABLE = "unreadable"
     BAD_NAME = "bad_name"
@@ -81,10 +81,10 @@
 
 
 class UnusableEntryError(RelayError):
-    """An entry of the list of servers names no server to use.
+    """An entry of the server list describes no usable server.
 
-    :param fault: what is wrong with it.
-    :param name: the field that is.
+    :param fault: what is wrong with the entry.
+    :param name: the field at fault.
     """
 
     def __init__(self, fault: EntryFault, name: str) -> None:
@@ -94,12 +94,12 @@
 
 
 class TurnUnknownError(RelayError):
-    """A quorum of replicas does not know the turn that a request goes on from."""
+    """A quorum of replicas does not know the turn that a request continues."""
 
 
 class StoreUncertainError(RelayError):
-    """Too few replicas answered; whether a record exists cannot be told."""
+    """Too few replicas answered to determine whether a record exists."""
 
 
 class BudgetExhaustedError(RelayError):
-    """A program's budget does not hold one more turn."""
+    """A program's token budget does not suffice for another turn."""
--- a/yarrowwall/listening.py
+++ b/yarrowwall/listening.py
@@ -1,4 +1,4 @@
-"""Listening sockets that go on accepting whatever fails for one connection."""
+"""Listening sockets that keep accepting after an accept has failed."""
 
 import errno
 import socket
@@ -10,19 +10,19 @@
 from yarrowwall import decisions
 from yarrowwall.decisions import DecisionLog
 
-#: Seconds to the next try after a failure; a process that has no descriptor left fails at once.
+#: Pause in seconds after a failure; a process that is out of descriptors fails without waiting.
 RETRY_SECONDS = 0.05
-#: Errors of a listening socket that is closed.
+#: Errors that show that the listening socket is closed.
 _CLOSED = {errno.EBADF, errno.EINVAL, errno.ENOTSOCK}
 
 
 class ResilientListener:
-    """A listening socket for servers that take a failed accept for their end.
+    """A listening socket whose ``accept`` retries, for servers that stop at a failed accept.
 
-    A connection that was aborted before it was accepted, or a process without descriptors, fails
-    an accept; the connections that wait or are open have nothing to do with it.
+    An accept fails if the connection was aborted before it or the process is out of descriptors;
+    other connections are not affected.
 
-    :param plain: a listening socket that was opened before eventlet.
+    :param plain: a listening socket opened with the standard library.
     """
 
     def __init__(self, plain: socket.socket, log: DecisionLog) -> None:
--- a/yarrowwall/model.py
+++ b/yarrowwall/model.py
@@ -1,4 +1,4 @@
-"""Types of the direct path: configuration, servers, attempts and answers.
+"""Types that describe the configuration, servers, attempts and answers.
 
 Times are seconds of the monotonic clock, durations are seconds.
 """
@@ -10,12 +10,12 @@
 
 from yarrowwall.messages.quotas import TenantLimit
 
-#: Header name and value, as they travel.
+#: Name and value of a header, as sent.
 Header = tuple[str, str]
 
 
 class RequestKind(StrEnum):
-    """What may be repeated about a request."""
+    """Whether a request may be repeated, and how it is answered."""
 
     IDEMPOTENT = "idempotent"
     MUTATING = "mutating"
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True)
 class ServiceShare:
-    """One part of a route's traffic and the service that gets it."""
+    """A service and its weight in a route's traffic."""
 
     service: str
     weight: float
@@ -32,12 +32,15 @@
 
 @dataclass(frozen=True)
 class Route:
-    """Where requests of a host and path prefix go, and under which bounds.
+    """The services and limits for requests of a host and path prefix.
 
-    :param timeout_s: the longest a request may be held.
-    :param attempts: the most servers that one attempt of a caller may be sent to.
+    :param timeout_s: maximum duration of a request.
+    :param attempts: maximum number of servers that one attempt of a caller is sent to.
     :param priority: rank, 0 is the most urgent.
-    :param retention_s: for how long turns and budgets of a program are kept.
+    :param is_stateful: whether turns of conversations are stored.
+    :param retention_s: how long turns and budgets of a program are kept.
+    :param is_sticky: whether requests with the same affinity key prefer the same server.
+    :param is_resumable: whether another server may continue a stream.
     :param is_public: whether requests need no key.
     """
 
@@ -57,7 +60,7 @@
 
     @property
     def is_repeatable(self) -> bool:
-        """Return whether a request may run more than once."""
+        """Return whether a request may be executed more than once."""
         return self.kind is RequestKind.IDEMPOTENT or (
             self.kind is RequestKind.STREAM and self.is_resumable
         )
@@ -65,10 +68,11 @@
 
 @dataclass(frozen=True)
 class EngineTraits:
-    """What is known of the model engines of a service.
+    """Properties of a service's model engines.
 
-    :param cache_tokens: tokens that an engine's memory holds.
-    :param tokens_per_event: tokens that one event of a stream counts for.
+    :param slots: requests that an engine processes at once.
+    :param cache_tokens: token capacity of an engine's cache.
+    :param tokens_per_event: tokens that one event of a stream stands for.
     """
 
     slots: int
@@ -86,7 +90,7 @@
 
 @dataclass(frozen=True)
 class CallerLimits:
-    """Bounds on what callers may send."""
+    """Size limits and timeouts for callers' requests."""
 
     header_bytes: int = 16384
     body_bytes: int = 4 * 1024 * 1024
@@ -96,11 +100,11 @@
 
 @dataclass(frozen=True)
 class Tenant:
-    """A customer of the operators, whose callers are known by their keys.
+    """A customer of the operators, whose callers are identified by API keys.
 
-    :param priority: rank of its requests, 0 is the most urgent; None for that of the route.
-    :param rate_per_s: requests a second that it may send, over all gateways; 0 without a limit.
-    :param burst: requests on top of that.
+    :param priority: rank of its requests, 0 is the most urgent; None for the route's priority.
+    :param rate_per_s: rate limit in requests per second over all gateways; 0 for none.
+    :param burst: requests that may exceed the rate.
     """
 
     name: str
@@ -112,9 +116,9 @@
 
 @dataclass(frozen=True)
 class Configuration:
-    """One version of the operators' configuration, whole.
+    """One complete version of the operators' configuration.
 
-    :param tenants: whose keys callers need; None if callers need no keys.
+    :param tenants: tenants whose keys callers may use; None if callers need no keys.
     """
 
     version: int
@@ -125,9 +129,9 @@
 
 
 class Incarnation(NamedTuple):
-    """One incarnation of a server, from a start to its end; a server may start again under its id.
+    """One run of a server, from its start to its end; its id may be used by later runs.
 
-    :param start_ms: Unix time of the start, by the server's own clock; None if it is not told.
+    :param start_ms: Unix time of the start, by the server's clock; None if unknown.
     """
 
     server_id: str
@@ -135,11 +139,11 @@
 
     @property
     def text(self) -> str:
-        """Return it as records and load reports name it; an id holds no blank."""
+        """Return the text form used in records and load reports; an id contains no space."""
         return self.server_id if self.start_ms is None else f"{self.server_id} {self.start_ms}"
 
     def is_before(self, other: "Incarnation") -> bool:
-        """Return whether this is an earlier one of the same server; one untold is the first."""
+        """Return whether this is earlier than another one; one without a start is the earliest."""
         if other.start_ms is None:
             return False
         return self.start_ms is None or self.start_ms < other.start_ms
@@ -147,9 +151,9 @@
 
 @dataclass(frozen=True)
 class Server:
-    """A server as the platform lists it.
+    """A server in the platform's list.
 
-    :param start_ms: Unix time of its start; None where servers do not tell it.
+    :param start_ms: Unix time of its start; None if unknown.
     """
 
     server_id: str
@@ -162,18 +166,18 @@
 
     @cached_property
     def incarnation(self) -> Incarnation:
-        """Return the incarnation of which this is told; each request looks it up some ten times."""
+        """Return the server's incarnation; cached, since a request reads it some ten times."""
         return Incarnation(self.server_id, self.start_ms)
 
     @cached_property
     def incarnation_text(self) -> str:
-        """Return that incarnation as records and load reports name it."""
+        """Return the incarnation's text form."""
         return self.incarnation.text
 
 
 @dataclass(frozen=True)
 class PromptPart:
-    """One part of a prompt; equal ids mean equal tokens."""
+    """A part of a prompt; parts with equal ids have equal tokens."""
 
     part_id: str
     tokens: int
@@ -181,12 +185,12 @@
 
 @dataclass(frozen=True)
 class ProgramContext:
-    """What a request says about the program it belongs to.
+    """The program that a request belongs to, as the request describes it.
 
-    :param budget: tokens that all turns of the program may emit; None without a bound.
-    :param max_tokens: the most tokens that this turn may emit.
-    :param previous_turn: attempt id of the turn that this one goes on from.
-    :param finish_at: when the whole program should be over; None if untold.
+    :param budget: tokens that all turns of the program may emit; None for no limit.
+    :param max_tokens: maximum number of tokens that this turn may emit.
+    :param previous_turn: attempt id of the turn that this one continues.
+    :param finish_at: when the whole program should be finished; None if not given.
     """
 
     program_id: str
@@ -198,14 +202,15 @@
 
 @dataclass
 class Attempt:
-    """One attempt of a caller: a request with an id of its own.
+    """One request of a caller, identified by its own id.
 
     :param deadline: when the caller stops waiting.
+    :param affinity: key by which a sticky route chooses a server.
     :param last_event_id: the last event that the caller has, if it resumes a stream.
-    :param api_key: the caller's secret, which goes into no log and to no server.
-    :param tenant: name of the tenant that holds the key; empty if none is needed.
+    :param api_key: the caller's secret, which is neither logged nor sent to servers.
+    :param tenant: name of the tenant that the key belongs to; empty if no key is needed.
     :param priority: rank of the request by tenant and route, 0 is the most urgent.
-    :param limit: the limit of its tenant; None without one.
+    :param limit: rate limit of the tenant; None without one.
     """
 
     attempt_id: str
@@ -233,11 +238,11 @@
 
 @dataclass(frozen=True)
 class Send:
-    """One sending of an attempt to a server.
+    """One request to a server on behalf of an attempt.
 
-    :param remaining_s: for how long the server may work.
+    :param remaining_s: time limit for the server, in seconds.
     :param priority: rank at the server, 0 is the most urgent.
-    :param last_event_id: the event after which a resumed stream goes on.
+    :param last_event_id: the event after which a stream resumes.
     """
 
     server: Server
@@ -249,7 +254,7 @@
 
 @dataclass(frozen=True)
 class ResponseHead:
-    """Status and headers of a response as they came."""
+    """Status and headers of a response, as received."""
 
     status: int
     headers: tuple[Header, ...]
@@ -257,12 +262,12 @@
 
 @dataclass(frozen=True)
 class Answer:
-    """A server's response head, understood.
+    """A server's interpreted response head.
 
-    :param was_not_run: the server vouches that the request has not run and never will.
-    :param belongs: whether it names the attempt that was sent.
+    :param was_not_run: whether the server guarantees that the request has not run and never will.
+    :param is_for_attempt: whether the response belongs to the attempt that was sent.
     :param is_signed: whether it carries the server's signature.
-    :param keep_alive: seconds that the server keeps an idle connection; None if untold.
+    :param keep_alive: the server's keep-alive timeout in seconds; None if not announced.
     """
 
     status: int
--- a/yarrowwall/platform/__init__.py
+++ b/yarrowwall/platform/__init__.py
@@ -1,4 +1,4 @@
-"""The adapter to the users' platform: its names, formats and calls.
+"""The adapter to the platform: its names, formats and calls.
 
-Nothing here decides, and nothing outside this package knows the platform's names.
+This package makes no decisions, and no other package uses the platform's names.
 """
--- a/yarrowwall/platform/__main__.py
+++ b/yarrowwall/platform/__main__.py
@@ -1,6 +1,6 @@
 """Runs a node on the platform: ``python3 -m yarrowwall.platform``.
 
-The platform fills ``deploy/node.toml`` and names the result in an environment variable.
+The platform fills in ``deploy/node.toml`` and passes its path in an environment variable.
 """
 
 import os
@@ -20,8 +20,8 @@
 
     :returns: the process's exit code.
     """
-    # Until the machine takes it, its default effect would end the process. What changed in the
-    # settings file by then is found by the first look at it.
+    # SIGHUP would end the process until the machine installs its handler. Settings that change
+    # by then are found when the settings file is first checked.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     path = Path(os.environ.get(names.SETTINGS_VARIABLE, ""))
     try:
@@ -35,7 +35,7 @@
 
 
 def _run(settings: MachineSettings, listeners: EarlyListeners, path: Path) -> int:
-    # Imported only now, for callers already wait at the listeners.
+    # Imported after the listeners are open, so that callers can already connect.
     from yarrowwall.eventlet_setup import patch_sockets
 
     patch_sockets()
--- a/yarrowwall/platform/adapter.py
+++ b/yarrowwall/platform/adapter.py
@@ -1,4 +1,4 @@
-"""The platform's side of a node, put together."""
+"""Construction of the platform adapter."""
 
 from yarrowwall.machine.settings import MachineSettings
 from yarrowwall.platform import names
@@ -10,7 +10,7 @@
 
 
 def make_adapter(settings: MachineSettings) -> Adapter:
-    """Return the platform's side of a node."""
+    """Return the platform adapter of a node."""
     return Adapter(
         PlatformCallers(),
         PlatformServers(),
--- a/yarrowwall/platform/callers.py
+++ b/yarrowwall/platform/callers.py
@@ -1,4 +1,4 @@
-"""Requests of the platform's clients and the answers they get."""
+"""Translation of clients' requests, and the headers of responses to them."""
 
 from functools import lru_cache
 from http.cookies import CookieError, SimpleCookie
@@ -9,12 +9,12 @@
 from yarrowwall.platform import names
 from yarrowwall.refusals import Refusal
 
-#: Seconds that a client without a deadline is held to wait.
-_DEFAULT_DEADLINE = 30.0
-#: Names of headers whose comparable spelling is remembered: those that clients really send.
-MAX_NAMES = 512
-#: Headers of one connection, those that the system sets itself, and callers' secrets.
-_DROPPED = {
+#: Deadline of requests that state none.
+_DEFAULT_DEADLINE_SECONDS = 30.0
+#: Maximum number of header names whose canonical form is cached.
+MAX_CACHED_NAMES = 512
+#: Hop-by-hop headers, headers that the system sets itself, and callers' secrets.
+_DROPPED_FROM_REQUESTS = {
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -43,9 +43,11 @@
     """Translates between the clients' requests and attempts."""
 
     def read_attempt(self, environ: dict[str, Any], now: float) -> Attempt:
-        """Return the attempt of a request without its body.
+        """Return the attempt of a request, without its body.
 
-        :raises InvalidAttemptError: if it is malformed.
+        :param environ: the request's WSGI environment.
+        :param now: when the request arrived, on the monotonic clock.
+        :raises InvalidAttemptError: if the request is malformed.
         """
         headers = environ["headers_raw"]
         lowered = [(name.lower(), value) for name, value in headers]
@@ -61,7 +63,7 @@
             method=environ["REQUEST_METHOD"],
             target=target,
             host=values.get("host", ""),
-            headers=_passed_on(headers, values.get("connection", "")),
+            headers=_forwarded_headers(headers, values.get("connection", "")),
             body=b"",
             arrived_at=now,
             deadline=now + _deadline(values.get(names.DEADLINE.lower())),
@@ -69,11 +71,11 @@
             prompt=_prompt(values.get(names.PROMPT_PREFIX.lower(), "")),
             affinity=_affinity(values.get("cookie", "")),
             last_event_id=values.get(names.LAST_EVENT_ID.lower()),
-            api_key=_only_value(lowered, names.API_KEY.lower()),
+            api_key=_unique_value(lowered, names.API_KEY.lower()),
         )
 
     def answer_headers(self, answer: Answer) -> list[Header]:
-        """Return the headers of a server's answer that the client gets."""
+        """Return the headers of a server's answer that are passed to the client."""
         return [
             (name, value)
             for name, value in answer.headers
@@ -81,37 +83,37 @@
         ]
 
     def refusal_headers(self, attempt_id: str, refusal: Refusal) -> list[Header]:
-        """Return the headers of an answer of the system itself."""
+        """Return the headers of a response made by the gateway."""
         headers = [(names.ATTEMPT_ID, attempt_id)] if attempt_id else []
         if refusal.retry_after_s is not None:
             headers.append((names.RETRY_AFTER, f"{refusal.retry_after_s:.3f}"))
         return headers
 
 
-def _passed_on(headers: tuple[Header, ...], connection: str) -> list[Header]:
-    also = {_canonical(name) for name in connection.split(",")} if connection else ()
-    dropped = _DROPPED.union(also) if also else _DROPPED
+def _forwarded_headers(headers: tuple[Header, ...], connection: str) -> list[Header]:
+    hop_by_hop = {_canonical(name) for name in connection.split(",")} if connection else ()
+    dropped = _DROPPED_FROM_REQUESTS.union(hop_by_hop) if hop_by_hop else _DROPPED_FROM_REQUESTS
     return [(name, value) for name, value in headers if _canonical(name) not in dropped]
 
 
-@lru_cache(MAX_NAMES)
+@lru_cache(MAX_CACHED_NAMES)
 def _canonical(name: str) -> str:
-    """Return a header's name in the one spelling that it is compared in.
+    """Return the canonical form of a header's name, for comparison.
 
-    Servers that hand headers on as variables take ``_`` and ``-`` for the same.
+    Servers that pass headers on as environment variables do not distinguish ``_`` and ``-``.
     """
     return name.strip().lower().replace("_", "-")
 
 
-def _only_value(headers: list[Header], wanted: str) -> str | None:
-    """Return the value of a header; None if it is missing or comes with different values."""
+def _unique_value(headers: list[Header], wanted: str) -> str | None:
+    """Return the value of a header; None if it is missing or has several different values."""
     values = {value.strip() for name, value in headers if name == wanted}
     return values.pop() if len(values) == 1 else None
 
 
 def _deadline(text: str | None) -> float:
     if text is None:
-        return _DEFAULT_DEADLINE
+        return _DEFAULT_DEADLINE_SECONDS
     try:
         return max(0.0, float(text) / 1000.0)
     except ValueError as error:
@@ -124,12 +126,12 @@
         return None
     budget = values.get(names.TOKEN_BUDGET.lower())
     finish_ms = values.get(names.FINISH.lower())
-    most = values.get(names.TOKEN_COUNT.lower(), "").rpartition(",")[2].strip()
+    max_tokens = values.get(names.TOKEN_COUNT.lower(), "").rpartition(",")[2].strip()
     try:
         return ProgramContext(
             program_id,
             int(budget) if budget is not None else None,
-            int(most) if most else 0,
+            int(max_tokens) if max_tokens else 0,
             values.get(names.PREVIOUS_TURN.lower()) or None,
             now + float(finish_ms) / 1000.0 if finish_ms is not None else None,
         )
--- a/yarrowwall/platform/documents.py
+++ b/yarrowwall/platform/documents.py
@@ -1,4 +1,4 @@
-"""The platform's objects as the project's types."""
+"""Conversion of the platform's objects to the types of this project."""
 
 import time
 from collections.abc import Callable
@@ -29,9 +29,10 @@
 
 
 class PlatformDocuments:
-    """Reads the platform's objects.
+    """Converts the platform's objects.
 
-    :param wall_clock: Unix time in seconds, by which a server's start can't lie far ahead.
+    :param wall_clock: returns the Unix time in seconds; starts of servers far ahead of it are
+        invalid.
     """
 
     servers_kind = names.SERVERS
@@ -43,20 +44,20 @@
         self._wall_clock = wall_clock
 
     def server(self, item: StoredObject) -> Server:
-        """Return a listed server.
+        """Return the server of an entry.
 
-        :raises UnusableEntryError: if the entry names none.
+        :raises UnusableEntryError: if the entry describes no usable server.
         """
         if not item.is_readable:
             raise UnusableEntryError(EntryFault.UNREADABLE, "spec")
         return read_server(item.name, item.spec, self._wall_clock())
 
     def server_incarnation(self, item: StoredObject) -> Incarnation:
-        """Return the incarnation that an entry tells of, as far as it can be read."""
+        """Return the incarnation of an entry; without a start time if that can't be read."""
         return read_incarnation(item.name, item.spec, self._wall_clock())
 
     def configuration(self, item: StoredObject) -> Configuration | None:
-        """Return the operators' configuration; None if the object holds something else."""
+        """Return the operators' configuration; None if the object is a different one."""
         if item.name != names.NEWEST_CONFIGURATION:
             return None
         spec = item.spec
@@ -69,7 +70,7 @@
         )
 
     def retirement_status(self, is_complete: bool) -> dict[str, Any]:
-        """Return the status of a storage machine that is emptied."""
+        """Return the status to store for a storage machine that is being retired."""
         return {"state": "complete" if is_complete else "running"}
 
 
@@ -100,20 +101,20 @@
 def _tenants(specs: list[dict[str, Any]]) -> tuple[Tenant, ...]:
     """Return the tenants of a configuration.
 
-    :raises ValueError: if two have the same name or key, or a limit is negative.
+    :raises ValueError: if two tenants share a name or a key, or a tenant is invalid.
     """
-    found = tuple(_tenant(spec) for spec in specs)
-    names_seen: set[str] = set()
+    tenants = tuple(_tenant(spec) for spec in specs)
+    seen_names: set[str] = set()
     holders: dict[str, str] = {}
-    for tenant in found:
-        if tenant.name in names_seen:
+    for tenant in tenants:
+        if tenant.name in seen_names:
             raise ValueError(f"tenant {tenant.name!r} is there twice")
-        names_seen.add(tenant.name)
+        seen_names.add(tenant.name)
         for key in tenant.api_keys:
             holder = holders.setdefault(key, tenant.name)
             if holder != tenant.name:
                 raise ValueError(f"tenants {holder!r} and {tenant.name!r} hold the same key")
-    return found
+    return tenants
 
 
 def _tenant(spec: dict[str, Any]) -> Tenant:
@@ -146,10 +147,10 @@
 
 
 def _limits(spec: dict[str, Any]) -> CallerLimits:
-    usual = CallerLimits()
+    defaults = CallerLimits()
     return CallerLimits(
-        int(spec.get("max_header_bytes") or usual.header_bytes),
-        int(spec.get("max_body_bytes") or usual.body_bytes),
-        float(spec.get("header_timeout_ms") or usual.header_seconds * 1000) / 1000.0,
-        float(spec.get("idle_timeout_ms") or usual.idle_seconds * 1000) / 1000.0,
+        int(spec.get("max_header_bytes") or defaults.header_bytes),
+        int(spec.get("max_body_bytes") or defaults.body_bytes),
+        float(spec.get("header_timeout_ms") or defaults.header_seconds * 1000) / 1000.0,
+        float(spec.get("idle_timeout_ms") or defaults.idle_seconds * 1000) / 1000.0,
     )
--- a/yarrowwall/platform/names.py
+++ b/yarrowwall/platform/names.py
@@ -1,4 +1,4 @@
-"""Names that the platform's protocol gives to headers, kinds and calls."""
+"""Names in the platform's protocol: headers, kinds of objects, paths."""
 
 # Headers
 ATTEMPT_ID = "X-Attempt-Id"
@@ -25,8 +25,7 @@
 MEMORY_SOURCE = "Kv-From"
 MEMORY_FETCH = "Kv-Fetch"
 
-#: Headers that are the system's to set or the caller's own secret: whatever a client sends in
-#: them reaches no server.
+#: Request headers that only the system sets, and callers' secrets: clients' values are removed.
 STRIPPED_HEADERS = (
     API_KEY,
     TENANT,
@@ -48,7 +47,7 @@
 NEWEST_CONFIGURATION = "main"
 RETIREMENTS = "retirements"
 
-#: Environment variable with the path of the settings file.
+#: Environment variable that holds the path of the settings file.
 SETTINGS_VARIABLE = "YARROWWALL_BOOT"
-#: Call that asks whether a node takes new connections.
+#: Path of the readiness check: whether a node accepts new connections.
 READINESS_PATH = "/readyz"
--- a/yarrowwall/platform/objects.py
+++ b/yarrowwall/platform/objects.py
@@ -1,7 +1,7 @@
-"""Objects of the platform's store as they come, whoever wrote them.
+"""Lenient parsing of objects from the platform store.
 
-An object may come from another writer. What of it can't be read is left empty, so that one such
-object does not take the others of its list or batch with it.
+Other programs write objects too. Fields that cannot be read are left empty, so that one invalid
+object does not discard the others of its list or batch.
 """
 
 import json
@@ -9,29 +9,29 @@
 
 from yarrowwall.ports.object_store import StoredObject
 
-#: Digits of the longest whole number that is read as one, those of 64 bits. Python refuses to
-#: read numbers of some thousand digits, and messages between machines hold 64 bits.
+#: Maximum number of digits that are read as an integer, so that it fits 64 bits as in messages
+#: between machines. Python refuses to parse integers of some thousand digits.
 _MAX_DIGITS = 18
 
 
 def read_json(data: bytes) -> Any:
-    """Return what a body says.
+    """Return the value of a JSON body.
 
-    Bytes that are no UTF-8, control characters and numbers beyond all use stand inside one
-    object, so they are taken rather than the whole body refused.
+    Invalid UTF-8, control characters and huge numbers affect a single object, so they are
+    accepted rather than the whole body refused.
 
-    :raises ValueError: if it is no JSON.
+    :raises ValueError: if the body is not JSON.
     """
     text = data.decode("utf-8", errors="replace")
-    return json.loads(text, strict=False, parse_int=_whole)
+    return json.loads(text, strict=False, parse_int=_parse_int)
 
 
-def _whole(digits: str) -> int | float:
+def _parse_int(digits: str) -> int | float:
     return int(digits) if len(digits) <= _MAX_DIGITS else float(digits)
 
 
 def read_object(document: object) -> StoredObject:
-    """Return an object; its name is empty if that can't be read."""
+    """Return an object of the store; its name is empty if it can't be read."""
     content = _mapping(document)
     meta = _mapping(content.get("meta"))
     revision = meta.get("revision")
@@ -49,7 +49,7 @@
 
 
 def _name(value: object) -> str:
-    """Return a name that can be sent on; lone surrogates can't."""
+    """Return a name; empty if it can't be encoded, for example because of a lone surrogate."""
     if not isinstance(value, str):
         return ""
     return value if value.isascii() or _is_encodable(value) else ""
--- a/yarrowwall/platform/server_entries.py
+++ b/yarrowwall/platform/server_entries.py
@@ -1,4 +1,4 @@
-"""Entries of the list of servers, read strictly: they may come from another writer."""
+"""Strict parsing of entries of the server list, which other programs may have written."""
 
 from typing import Any
 
@@ -7,21 +7,22 @@
 from yarrowwall.model import Incarnation, Server
 
 _STATES = ("ready", "draining")
-#: Fields that servers write about themselves and that the gateway has no use for: of another
-#: type, they show another writer all the same.
+#: Fields that servers write and the gateway does not use; a wrong type shows that the entry was
+#: written by another program.
 _UNUSED_FIELDS = (("version", str), ("cold_left_ms", int), ("seq", int))
-#: Most requests that a server can be held to work on at once; real ones have some dozens.
+#: Maximum plausible number of slots of a server; real servers have some dozens.
 MAX_SLOTS = 100_000
-#: Seconds that the time of day of a server may be ahead of this machine's. Steps of some seconds
-#: are usual; a start further ahead would hide each true one of that id until then.
-MAX_AHEAD_SECONDS = 3600.0
+#: Maximum seconds by which a server's clock may be ahead of this machine's. Differences of some
+#: seconds are common. A start time further ahead would hide every real start of the same id until
+#: that time.
+MAX_CLOCK_AHEAD_SECONDS = 3600.0
 
 
 def read_server(name: str, spec: dict[str, Any], unix_s: float) -> Server:
-    """Return the server that an entry names.
+    """Return the server that an entry describes.
 
-    :param unix_s: the time of day.
-    :raises UnusableEntryError: if it names none.
+    :param unix_s: Unix time now, in seconds.
+    :raises UnusableEntryError: if the entry describes no usable server.
     """
     if not is_server_id(name):
         raise UnusableEntryError(EntryFault.BAD_NAME, "name")
@@ -38,20 +39,20 @@
         _field(spec, "zone", str),
         _slots(spec),
         state == "draining",
-        _born_ms(spec, unix_s),
+        _start_ms(spec, unix_s),
     )
 
 
 def read_incarnation(name: str, spec: dict[str, Any], unix_s: float) -> Incarnation:
-    """Return the incarnation that an entry tells of; the untold one if that can't be read."""
+    """Return the incarnation of an entry; without a start time if that can't be read."""
     try:
-        return Incarnation(name, _born_ms(spec, unix_s))
+        return Incarnation(name, _start_ms(spec, unix_s))
     except UnusableEntryError:
         return Incarnation(name)
 
 
 def is_server_id(name: str) -> bool:
-    """Return whether a name can be a server's id, which travels in a header."""
+    """Return whether a name can be a server's id, which is sent in a header."""
     return bool(name) and name.isascii() and name.isprintable() and " " not in name
 
 
@@ -59,7 +60,7 @@
     if name not in spec:
         raise UnusableEntryError(EntryFault.MISSING_FIELD, name)
     value = spec[name]
-    # A truth value is a whole number to Python.
+    # isinstance() would accept a bool as an int.
     if type(value) is not kind:
         raise UnusableEntryError(EntryFault.WRONG_TYPE, name)
     return value
@@ -83,10 +84,10 @@
     return slots
 
 
-def _born_ms(spec: dict[str, Any], unix_s: float) -> int | None:
+def _start_ms(spec: dict[str, Any], unix_s: float) -> int | None:
     if "born" not in spec:
         return None
     start_ms: int = _field(spec, "born", int)
-    if not 0 < start_ms <= (unix_s + MAX_AHEAD_SECONDS) * 1000.0:
+    if not 0 < start_ms <= (unix_s + MAX_CLOCK_AHEAD_SECONDS) * 1000.0:
         raise UnusableEntryError(EntryFault.OUT_OF_RANGE, "born")
     return start_ms
--- a/yarrowwall/platform/servers.py
+++ b/yarrowwall/platform/servers.py
@@ -1,24 +1,24 @@
-"""What the platform's servers are sent, and what their answers mean."""
+"""Encoding of requests to the platform's servers, and interpretation of their answers."""
 
 from http import HTTPStatus
 
 from yarrowwall.model import Answer, Attempt, ResponseHead, Send
 from yarrowwall.platform import names
 
-_LEAST_PRIORITY = 9
+_LOWEST_PRIORITY = 9
 
 
 class PlatformServers:
-    """Translates between attempts and what servers are sent."""
+    """Translates between attempts and HTTP messages of servers."""
 
     def request_bytes(self, attempt: Attempt, send: Send) -> bytes:
-        """Return the bytes of one sending."""
+        """Return the bytes of a request to a server."""
         lines = [f"{attempt.method} {attempt.target} HTTP/1.1", f"Host: {attempt.host}"]
         lines += [f"{name}: {value}" for name, value in attempt.headers]
         lines.append(f"{names.DEADLINE}: {max(1, int(send.remaining_s * 1000))}")
         lines.append(f"{names.EXPECT_INSTANCE}: {send.server.server_id}")
         if attempt.prompt:
-            priority = min(max(send.priority, 0), _LEAST_PRIORITY)
+            priority = min(max(send.priority, 0), _LOWEST_PRIORITY)
             lines.append(f"{names.REQUEST_PRIORITY}: {priority}")
         if attempt.tenant:
             lines.append(f"{names.TENANT}: {attempt.tenant}")
@@ -29,7 +29,7 @@
         return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1") + send.body
 
     def read_answer(self, attempt: Attempt, send: Send, head: ResponseHead) -> Answer:
-        """Return what a response head means."""
+        """Return the interpretation of a response head."""
         values = {name.lower(): value for name, value in head.headers}
         echoed = values.get(names.ATTEMPT_ID.lower())
         is_misdirected = head.status == HTTPStatus.MISDIRECTED_REQUEST
@@ -44,7 +44,7 @@
 
 
 def _keep_alive(text: str | None) -> float | None:
-    """Return the seconds that a server keeps an idle connection, if it told them."""
+    """Return the server's keep-alive timeout in seconds; None if it announced none."""
     if text is None:
         return None
     for piece in text.split(","):
--- a/yarrowwall/platform/store.py
+++ b/yarrowwall/platform/store.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's store of objects."""
+"""HTTP client of the platform store."""
 
 import json
 import math
@@ -25,27 +25,30 @@
     WatchInterruptedError,
 )
 
-#: Seconds that the answer to a watch may take beyond its wait.
-_WATCH_MARGIN = 1.5
-#: Seconds for a connection to come up, and for an answer. When all machines start at once
-#: the store's queue of new connections overflows, and the kernel sends an opening packet that
-#: was dropped again only after a second: a new try is sooner.
+#: Seconds that the answer to a watch may take in addition to its wait.
+_WATCH_MARGIN_SECONDS = 1.5
+#: Connect timeout in seconds. When all machines start at once, the store's backlog of new
+#: connections overflows, and the kernel resends a dropped SYN packet only after a second: trying
+#: again is faster.
 _CONNECT_SECONDS = 0.4
+#: Default timeout of a call, in seconds.
 _ANSWER_SECONDS = 2.0
 
-_WATCH_LANE = "watch "
+_WATCH_CHANNEL = "watch "
 _JSON = "application/json"
 
 
-class _Opened(NamedTuple):
+class _OpenConnection(NamedTuple):
     """A connection and when it was opened."""
 
     connection: ServerConnection
-    at_s: float
+    opened_at_s: float
 
 
 class PlatformStore:
-    """The store; a connection for calls that answer at once and one for each watch.
+    """Reads, watches and changes objects of the platform store.
+
+    Lists, reads and watches of each kind have a connection; all changes share another one.
 
     :param address: ``IP:port``.
     :param now: the monotonic clock.
@@ -54,46 +57,48 @@
     def __init__(self, address: str, now: Callable[[], float] = time.monotonic) -> None:
         self._address = address
         self._now = now
-        self._idle: dict[str, _Opened] = {}
-        self._watching: dict[str, _Opened] = {}
+        self._idle: dict[str, _OpenConnection] = {}
+        self._watching: dict[str, _OpenConnection] = {}
         self._interrupted: set[str] = set()
 
     def list(self, kind: str, timeout_s: float, may_be_old: bool = False) -> Listing:
         """Return all objects of a kind.
 
-        :param timeout_s: the longest that each page of it may take.
-        :param may_be_old: whether the list may be some seconds old, at a tenth of the price.
+        :param timeout_s: timeout of each page.
+        :param may_be_old: whether the list may be some seconds old, at a tenth of the cost.
         """
         items: list[StoredObject] = []
         revision: int | None = None
         path = f"/objects/{kind}"
-        age = "stale=1" if may_be_old else ""
-        query = age
+        stale_query = "stale=1" if may_be_old else ""
+        query = stale_query
         while True:
             target = f"{path}?{query}" if query else path
-            _, document = self._call("GET", target, lane=f"list {kind}", timeout=timeout_s)
+            _, document = self._call("GET", target, channel=f"list {kind}", timeout=timeout_s)
             page = [read_object(item) for item in document["items"]]
             items += page
-            # Changes after the first page's revision are delivered by the watch.
+            # The first page's revision: a watch from it delivers all later changes.
             revision = document["at"] if revision is None else revision
             if not document.get("more"):
                 return Listing(items, revision)
             after = "after=" + quote(_last_name(page), safe="")
-            query = f"{age}&{after}" if age else after
+            query = f"{stale_query}&{after}" if stale_query else after
 
     def watch(self, kind: str, revision: int, wait_s: float) -> Changes:
-        """Wait for changes after a revision; none if nothing happened for a while."""
+        """Wait for changes after a revision; return none if nothing changed in time."""
         path = f"/objects/{kind}?watch={revision}&wait_ms={int(wait_s * 1000)}"
-        lane = _WATCH_LANE + kind
+        channel = _WATCH_CHANNEL + kind
         try:
-            status, document = self._call("GET", path, lane=lane, timeout=wait_s + _WATCH_MARGIN)
+            status, document = self._call(
+                "GET", path, channel=channel, timeout=wait_s + _WATCH_MARGIN_SECONDS
+            )
         except ObjectStoreError as error:
-            if lane in self._interrupted:
+            if channel in self._interrupted:
                 raise WatchInterruptedError(str(error)) from error
             raise
         finally:
-            self._watching.pop(lane, None)
-            self._interrupted.discard(lane)
+            self._watching.pop(channel, None)
+            self._interrupted.discard(channel)
         if status == HTTPStatus.GONE:
             raise HistoryForgottenError(f"{kind} since {revision}")
         changes = [
@@ -106,32 +111,35 @@
     def interrupt_watches(
         self, opened_before_s: float = float("inf"), kind: str | None = None
     ) -> None:
-        """End waiting watches of this process; connections in doubt are used no more."""
-        for lane, opened in list(self._watching.items()):
-            if opened.at_s < opened_before_s and kind in (None, lane.removeprefix(_WATCH_LANE)):
-                self._interrupted.add(lane)
+        """End waiting watches, and close idle connections opened before ``opened_before_s``."""
+        for channel, opened in list(self._watching.items()):
+            if opened.opened_at_s < opened_before_s and kind in (
+                None,
+                channel.removeprefix(_WATCH_CHANNEL),
+            ):
+                self._interrupted.add(channel)
                 opened.connection.interrupt()
         if math.isfinite(opened_before_s):
             self._close_idle(opened_before_s)
 
     def _close_idle(self, opened_before_s: float) -> None:
-        for lane, opened in list(self._idle.items()):
-            if opened.at_s < opened_before_s:
-                del self._idle[lane]
+        for channel, opened in list(self._idle.items()):
+            if opened.opened_at_s < opened_before_s:
+                del self._idle[channel]
                 opened.connection.close()
 
     def wait_for_contact(self, seconds: float) -> None:
-        """Pause."""
+        """Sleep."""
         eventlet.sleep(seconds)
 
     def get(self, kind: str, name: str, timeout_s: float) -> StoredObject | None:
-        """Return an object as it stands now; None if there is none."""
+        """Return the current state of an object; None if it does not exist."""
         path = f"/objects/{kind}/{quote(name, safe='')}"
-        status, document = self._call("GET", path, lane=f"get {kind}", timeout=timeout_s)
+        status, document = self._call("GET", path, channel=f"get {kind}", timeout=timeout_s)
         return None if status == HTTPStatus.NOT_FOUND else read_object(document)
 
     def create(self, kind: str, name: str, spec: dict[str, Any]) -> StoredObject:
-        """Make an object."""
+        """Create an object."""
         body = {"meta": {"name": name}, "spec": spec}
         _, document = self._call("POST", f"/objects/{kind}", body)
         return read_object(document)
@@ -139,7 +147,7 @@
     def replace(
         self, kind: str, name: str, spec: dict[str, Any], revision: int | None
     ) -> StoredObject:
-        """Replace an object's content if it still has a revision."""
+        """Replace an object's content, if its revision is still the given one."""
         meta: dict[str, Any] = {"name": name}
         if revision is not None:
             meta["revision"] = revision
@@ -157,17 +165,17 @@
         method: str,
         path: str,
         body: dict[str, Any] | None = None,
-        lane: str = "calls",
+        channel: str = "calls",
         timeout: float = _ANSWER_SECONDS,
     ) -> tuple[int, dict[str, Any]]:
-        idle = self._idle.pop(lane, None)
+        idle = self._idle.pop(channel, None)
         connection, opened_at_s = idle if idle is not None else (None, 0.0)
         try:
             if connection is None or not connection.has_no_pending_input():
                 opened_at_s = self._now()
                 connection = ServerConnection(self._address, min(_CONNECT_SECONDS, timeout))
-            if lane.startswith(_WATCH_LANE):
-                self._watching[lane] = _Opened(connection, opened_at_s)
+            if channel.startswith(_WATCH_CHANNEL):
+                self._watching[channel] = _OpenConnection(connection, opened_at_s)
             connection.send(self._request(method, path, body), timeout)
             head = connection.read_head(timeout)
             data = connection.read_all(timeout)
@@ -182,8 +190,8 @@
             if connection is not None:
                 connection.close()
             raise
-        if connection.is_reusable and lane not in self._idle:
-            self._idle[lane] = _Opened(connection, opened_at_s)
+        if connection.is_reusable and channel not in self._idle:
+            self._idle[channel] = _OpenConnection(connection, opened_at_s)
         else:
             connection.close()
         return head.status, _document(method, path, head.status, data)
@@ -213,7 +221,7 @@
 
 
 def _last_name(page: Sequence[StoredObject]) -> str:
-    """Return the name after which the next page begins.
+    """Return the last readable name of a page, after which the next page begins.
 
     :raises ObjectStoreError: if no name of the page can be read.
     """
--- a/yarrowwall/refusals.py
+++ b/yarrowwall/refusals.py
@@ -1,4 +1,4 @@
-"""Final answers that a gateway gives by itself."""
+"""Responses that a gateway makes itself instead of a server."""
 
 from dataclasses import dataclass
 from http import HTTPStatus
@@ -8,9 +8,9 @@
 
 @dataclass(frozen=True)
 class Refusal:
-    """A final answer that the gateway gives itself.
+    """A response made by the gateway.
 
-    :param retry_after_s: until the caller should come back; None if it should not.
+    :param retry_after_s: seconds after which the caller should retry; None if it should not.
     """
 
     status: int
@@ -19,9 +19,9 @@
 
 
 class RefusedError(RelayError):
-    """A request is answered by the gateway itself.
+    """A request is refused by the gateway.
 
-    :param refusal: the final answer.
+    :param refusal: the response to send.
     """
 
     def __init__(self, refusal: Refusal) -> None:
@@ -30,5 +30,5 @@
 
 
 def unavailable(reason: str, retry_after_s: float) -> RefusedError:
-    """Return the refusal of a request that surely has not run and never will."""
+    """Return a 503 refusal of a request that has certainly not run and never will."""
     return RefusedError(Refusal(HTTPStatus.SERVICE_UNAVAILABLE, reason, retry_after_s))
--- a/yarrowwall/sockets.py
+++ b/yarrowwall/sockets.py
@@ -1,7 +1,7 @@
-"""Sockets that send at once, find dark peers and tell a reset from an end.
+"""Socket functions that detect unreachable peers and distinguish a reset from an orderly close.
 
-eventlet's own ``recv`` returns nothing for a reset as it does for an orderly end, and
-raises ``EOFError`` into its hub when another greenthread closes the socket.
+eventlet's ``recv`` returns no bytes for a reset as for an orderly close, and raises ``EOFError``
+in its hub when another greenthread closes the socket.
 """
 
 import errno
@@ -15,15 +15,16 @@
 
 from yarrowwall.exceptions import ConnectError, ConnectTimeoutError
 
-#: Milliseconds that sent bytes may stay unacknowledged; a silent peer never resets.
+#: Milliseconds that sent bytes may stay unacknowledged; an unreachable peer sends no reset.
 USER_TIMEOUT_MS = 2500
-#: Seconds of silence before and between the probes that find a dark peer, and their count.
+#: Seconds of idleness before and between TCP keep-alive probes, and the number of unanswered
+#: probes that end the connection.
 KEEPALIVE_SECONDS = 1
 KEEPALIVE_COUNT = 2
 
 
 def set_tcp_options(connection: socket.socket) -> None:
-    """Let a connection send at once and find out when its peer has gone dark."""
+    """Disable Nagle's algorithm, and set timeouts that detect an unreachable peer."""
     for option, value in (
         (socket.TCP_NODELAY, 1),
         (socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS),
@@ -39,8 +40,8 @@
     """Return a connected socket.
 
     :param address: ``IP:port``.
-    :param timeout: seconds for the connection to come up.
-    :raises ConnectError: if it does not.
+    :param timeout: connect timeout in seconds.
+    :raises ConnectError: if the connection cannot be opened.
     """
     host, _, port = address.rpartition(":")
     connection = green_socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -58,14 +59,14 @@
 
 
 def receive(connection: socket.socket, size: int, timeout: float | None) -> bytes:
-    """Return the bytes that arrive next; empty at an orderly end.
+    """Return the next bytes; empty at an orderly close.
 
-    A time-out counts only if nothing is there: a process that was held up finds it and bytes that
-    came in time at once.
+    Bytes that have arrived are returned even if the timeout has expired: a process that was
+    delayed finds both at once.
 
-    :param timeout: seconds to wait; None without a bound.
+    :param timeout: seconds to wait; None for no limit.
     :raises TimeoutError: if nothing arrives in time.
-    :raises OSError: if the connection fails, is reset or is closed here meanwhile.
+    :raises OSError: if the connection fails, is reset or is closed by this process.
     """
     raw = connection.fd  # type: ignore[attr-defined]  # the non-blocking socket below
     is_over = False
@@ -84,13 +85,13 @@
 
 
 def send_some(connection: socket.socket, data: bytes | memoryview) -> int:
-    """Send bytes within the connection's time-out; return how many were taken.
+    """Send bytes within the connection's timeout; return how many were sent.
 
-    The library's own ``send`` keeps the error of its time-out in a frame that the error leads back
-    to, so all that was under way stays in memory until the garbage collector comes by.
+    eventlet's ``send`` creates a reference cycle between its timeout error and a frame, so that
+    the request's objects stay in memory until the next garbage collection.
 
-    :raises TimeoutError: if the peer takes nothing in time.
-    :raises OSError: if the connection fails, is reset or is closed here meanwhile.
+    :raises TimeoutError: if the peer reads nothing in time.
+    :raises OSError: if the connection fails, is reset or is closed by this process.
     """
     raw = connection.fd  # type: ignore[attr-defined]  # the non-blocking socket below
     while True:
@@ -100,20 +101,20 @@
             pass
         timeout = connection.gettimeout()
         try:
-            # No further try behind the time-out: the kernel takes a little of a peer that is slow.
+            # No retry after the timeout: the kernel accepts a few bytes even for a slow peer.
             trampoline(raw, write=True, timeout=timeout, timeout_exc=TimeoutError)
         except IOClosed as error:
             raise ConnectionResetError(errno.ECONNRESET, "closed here") from error
 
 
 class Receiver:
-    """Receives from one connection for as long as that lasts.
+    """Receives from one connection until its end.
 
-    It stays registered with the hub. :func:`receive` tries first, registers its descriptor and
-    removes it again, three calls of the kernel more for each piece, which is right where an answer
-    is often there already.
+    It stays registered with the hub. :func:`receive` tries to read first, and adds and removes a
+    listener if it must wait: three more system calls for each piece, which is better only where
+    bytes have often arrived already.
 
-    :param connection: nothing else may read it; it is closed after this.
+    :param connection: nothing else may read from it; it is closed after this object.
     """
 
     def __init__(self, connection: socket.socket) -> None:
@@ -122,7 +123,7 @@
         self._waiting: greenlet.greenlet | None = None
 
     def receive(self, size: int) -> bytes:
-        """Return the bytes that arrive next; empty at an orderly end.
+        """Return the next bytes; empty at an orderly close.
 
         :raises OSError: if the connection fails or is reset.
         """
@@ -134,13 +135,13 @@
                 continue
 
     def close(self) -> None:
-        """Receive no more."""
+        """Stop receiving: remove the listener."""
         listener, self._listener = self._listener, None
         if listener is not None:
             get_hub().remove(listener)
 
     def _wait(self) -> None:
-        """Wait until something is there to receive."""
+        """Wait until the socket is readable."""
         hub = get_hub()
         if self._listener is None:
             fileno = self._raw.fileno()
@@ -152,25 +153,25 @@
             self._waiting = None
 
     def _wake(self, fileno: int) -> None:
-        """Take in that there is something; called by the hub."""
+        """Resume the receiving greenthread; called by the hub when the socket is readable."""
         if self._waiting is not None:
             self._waiting.switch()
         else:
-            # The one who receives is at work and waits for something else.
+            # The receiving greenthread is busy or waits for something else.
             self.close()
 
     def _fail(self, error: BaseException) -> None:
-        """Take in that the descriptor has become another connection's; called by the hub."""
+        """Handle that the descriptor now belongs to another connection; called by the hub."""
         self._listener = None
         if self._waiting is not None:
             self._waiting.throw(error)
 
 
 def send_all(connection: socket.socket, data: bytes, timeout: float) -> None:
-    """Send bytes; ``sendall`` would allow the time anew for each piece that the peer takes.
+    """Send all bytes within one timeout; ``sendall`` restarts it with each piece that is sent.
 
-    :param timeout: seconds for all of them.
-    :raises TimeoutError: if the peer does not take them in time.
+    :param timeout: seconds for all bytes.
+    :raises TimeoutError: if the peer does not read them in time.
     :raises OSError: if the connection fails.
     """
     rest = memoryview(data)[_send_now(connection, data) :]
@@ -183,7 +184,7 @@
 
 
 def _send_now(connection: socket.socket, data: bytes) -> int:
-    """Return how many bytes the kernel takes at once: all of most requests, with no time to set."""
+    """Send what the kernel accepts at once, all of most requests; return the number of bytes."""
     raw = connection.fd  # type: ignore[attr-defined]
     try:
         return int(raw.send(data))
@@ -192,7 +193,7 @@
 
 
 def has_no_pending_input(connection: socket.socket) -> bool:
-    """Return whether neither bytes nor an end wait to be received."""
+    """Return whether neither bytes nor an end of the connection wait to be received."""
     raw = connection.fd  # type: ignore[attr-defined]
     try:
         raw.recv(1, socket.MSG_PEEK)
