--- a/yarrowwall/platform/store.py
+++ b/yarrowwall/platform/store.py
@@ -42,7 +42,7 @@
     """A connection and when it was opened."""
 
     connection: ServerConnection
-    opened_at_s: float
+    opened_s: float
 
 
 class PlatformStore:
@@ -113,7 +113,7 @@
     ) -> None:
         """End waiting watches, and close idle connections opened before ``opened_before_s``."""
         for channel, opened in list(self._watching.items()):
-            if opened.opened_at_s < opened_before_s and kind in (
+            if opened.opened_s < opened_before_s and kind in (
                 None,
                 channel.removeprefix(_WATCH_CHANNEL),
             ):
@@ -124,7 +124,7 @@
 
     def _close_idle(self, opened_before_s: float) -> None:
         for channel, opened in list(self._idle.items()):
-            if opened.opened_at_s < opened_before_s:
+            if opened.opened_s < opened_before_s:
                 del self._idle[channel]
                 opened.connection.close()
 
