--- a/yarrowwall/dispatch/sender.py
+++ b/yarrowwall/dispatch/sender.py
@@ -26,7 +26,7 @@
     Send,
     Server,
 )
-from yarrowwall.policy.memory_budget import MemoryHold
+from yarrowwall.policy.memory_budget import RequestMemory
 from yarrowwall.policy.request_time import RequestTime
 from yarrowwall.policy.sending import SendRules
 from yarrowwall.policy.server_choice import Choice, PlacementRequest
@@ -57,7 +57,7 @@
     time: RequestTime
     body: bytes
     allowance: Allowance
-    request_memory: MemoryHold
+    request_memory: RequestMemory
     last_server: str = ""
 
 
@@ -94,7 +94,7 @@
             components.latencies,
             components.retries,
         )
-        self.log = self.rules.log
+        self.log = self.rules.history
         self.current: OpenAnswer | None = None
 
     @property
@@ -110,7 +110,7 @@
 
     def refused(self, reason: str) -> RefusedError:
         """Return the final refusal of an attempt that no server answered."""
-        return RefusedError(self.rules.final_answer(reason, self._components.now()))
+        return RefusedError(self.rules.final_refusal(reason, self._components.now()))
 
     # Memory
 
@@ -147,13 +147,13 @@
             except RelayError as error:
                 reason = str(error)
                 self.note_failure(choice.server, error)
-                if self.rules.is_settled:
+                if self.rules.is_failure_final:
                     break
                 continue
             if not opened.answer.was_not_run:
                 return opened
             reason = f"server answered {opened.answer.status}, not run"
-            self._plan.allowance.not_run()
+            self._plan.allowance.note_not_run()
             self._handle_not_run(opened)
         raise self.refused(reason)
 
@@ -179,7 +179,7 @@
         self._last_incarnation = server.incarnation
         connection = self._connect(server)
         try:
-            self._plan.allowance.spend()
+            self._plan.allowance.use_permit()
         except RefusedError:
             self._components.pool.release(server, connection)
             raise
@@ -189,7 +189,7 @@
         self._log_sent(choice, send)
         sent_at = self._components.now()
         if self.log.sent == 1:
-            self._components.retries.earn(self._plan.service)
+            self._components.retries.deposit(self._plan.service)
         self._take_slot(server)
         try:
             answer = self._exchange(connection, send)
@@ -235,9 +235,11 @@
         started_at = self._components.now()
         while True:
             try:
-                head = connection.read_head(self.rules.look_again_s(self._components.now()))
+                head = connection.read_head(self.rules.next_check_s(self._components.now()))
             except AnswerTimeoutError:
-                if not self.rules.is_worth_waiting(incarnation, started_at, self._components.now()):
+                if not self.rules.should_keep_waiting(
+                    incarnation, started_at, self._components.now()
+                ):
                     raise
                 continue
             self._components.directory.note_heard(incarnation, self._components.now())
@@ -311,7 +313,7 @@
     # The slot at the server
 
     def _take_slot(self, server: Server) -> None:
-        self._occupied_server = self._components.directory.started(server.incarnation)
+        self._occupied_server = self._components.directory.note_started(server.incarnation)
         self._report_loads()
 
     def _free_slot(self) -> None:
@@ -323,4 +325,4 @@
     def _report_loads(self) -> None:
         """Report loads to other gateways at once for a turn, which occupies its slot for long."""
         if self._plan.route.kind is RequestKind.STREAM:
-            self._components.loads.tell()
+            self._components.loads.report_loads()
--- a/yarrowwall/dispatch/streams.py
+++ b/yarrowwall/dispatch/streams.py
@@ -54,7 +54,7 @@
         if opened.answer.status == HTTPStatus.OK:
             state = self._components.directory.state_of(opened.send.server.incarnation)
             if state is not None:
-                state.belief.note_sent(self._attempt.prompt)
+                state.prefix_cache.note_sent(self._attempt.prompt)
 
     def events(self) -> Iterator[list[Event]]:
         """Return the events in the batches in which they arrive.
@@ -99,9 +99,9 @@
         rules, incarnation = self._sender.rules, opened.send.server.incarnation
         while True:
             try:
-                data = opened.connection.read_some(rules.look_again_s(self._components.now()))
+                data = opened.connection.read_some(rules.next_check_s(self._components.now()))
             except AnswerTimeoutError:
-                if not rules.is_worth_waiting(
+                if not rules.should_keep_waiting(
                     incarnation, self._last_event_at, self._components.now()
                 ):
                     raise
@@ -115,7 +115,7 @@
         opened = self._sender.current
         if self.relayed and opened is not None:
             gap = (now - self._last_event_at) / len(events)
-            self._components.directory.note_pace(opened.send.server.incarnation, gap, now)
+            self._components.directory.note_service_time(opened.send.server.incarnation, gap, now)
         self._last_event_at = now
         self._last_event_id = events[-1].event_id or self._last_event_id
         # Turns of stateful routes are stored in full; for others the number of events suffices.
--- a/yarrowwall/gateway/bodies.py
+++ b/yarrowwall/gateway/bodies.py
@@ -6,7 +6,7 @@
 import eventlet
 
 from yarrowwall.exceptions import CallerDisconnectedError, InvalidAttemptError
-from yarrowwall.policy.memory_budget import MemoryBudget, MemoryExhaustedError, MemoryHold
+from yarrowwall.policy.memory_budget import MemoryBudget, MemoryExhaustedError, RequestMemory
 
 #: Bytes of a body that are read at a time.
 _READ_BYTES = 8 * 1024
@@ -32,7 +32,7 @@
     """
 
     def __init__(
-        self, environ: dict[str, Any], memory: MemoryBudget, request_memory: MemoryHold, limit: int
+        self, environ: dict[str, Any], memory: MemoryBudget, request_memory: RequestMemory, limit: int
     ) -> None:
         self._source = environ["wsgi.input"]
         length = environ.get("CONTENT_LENGTH")
@@ -55,7 +55,7 @@
         content_length = self._content_length or 0
         if content_length > self._limit:
             raise BodyTooLargeError(self._limit)
-        if not self._memory.may_begin(content_length):
+        if not self._memory.accepts_request(content_length):
             raise MemoryExhaustedError("too much is held for other requests")
         if not content_length and not self._is_chunked:
             # No body follows, so no timeout is set: each takes 0.004 ms.
--- a/yarrowwall/gateway/exchange.py
+++ b/yarrowwall/gateway/exchange.py
@@ -35,7 +35,7 @@
         self._log = gateway.components.dispatch.decisions
         self._now = gateway.components.dispatch.now
         self._environ = environ
-        self._request_memory = gateway.components.dispatch.memory.open()
+        self._request_memory = gateway.components.dispatch.memory.open_request()
         self._response = Response(
             gateway.components, environ, start_response, lambda: gateway.should_close_connections
         )
@@ -177,7 +177,7 @@
         if attempt.program is not None:
             self._components.program_sizes.note_lookup()
         allowance = self._components.quotas.allowance(attempt)
-        allowance.begin()
+        allowance.prefetch()
         try:
             service = self._gateway.router.service_for(route)
             plan = SendPlan(
@@ -191,9 +191,9 @@
 
     def _relay_stream(self, attempt: Attempt, route: Route, time: RequestTime) -> Iterator[bytes]:
         turn = Turn(self._gateway, attempt, route, time, self._request_memory, self._response)
-        loads = self._components.dispatch.loads.ask()
+        loads = self._components.dispatch.loads.request_loads()
         allowance = self._components.quotas.allowance(attempt)
-        allowance.begin()
+        allowance.prefetch()
         try:
             grant = turn.open()
             yield from turn.run(grant, allowance, loads)
--- a/yarrowwall/gateway/turn.py
+++ b/yarrowwall/gateway/turn.py
@@ -16,13 +16,13 @@
 from yarrowwall.gateway.response import Response
 from yarrowwall.gateway.state import GatewayState
 from yarrowwall.model import Answer, Attempt, Route
-from yarrowwall.policy.memory_budget import MemoryExhaustedError, MemoryHold
+from yarrowwall.policy.memory_budget import MemoryExhaustedError, RequestMemory
 from yarrowwall.policy.request_time import RequestTime
 from yarrowwall.policy.retry_after import SHORTAGE_SECONDS, after_outage_s
-from yarrowwall.ports.loads import LoadQuestion
+from yarrowwall.ports.admission import NewProgram
+from yarrowwall.ports.loads import PendingLoads
 from yarrowwall.ports.programs import TurnGrant
 from yarrowwall.ports.quotas import Allowance
-from yarrowwall.ports.rooms import NewProgram
 from yarrowwall.refusals import Refusal, RefusedError, unavailable
 
 
@@ -43,7 +43,7 @@
         attempt: Attempt,
         route: Route,
         time: RequestTime,
-        request_memory: MemoryHold,
+        request_memory: RequestMemory,
         response: Response,
     ) -> None:
         self._gateway = gateway
@@ -76,7 +76,7 @@
             after_s = after_outage_s(programs.unreachable_s, self._attempt.attempt_id)
             raise unavailable(str(error), after_s) from error
 
-    def run(self, grant: TurnGrant, allowance: Allowance, loads: LoadQuestion) -> Iterator[bytes]:
+    def run(self, grant: TurnGrant, allowance: Allowance, loads: PendingLoads) -> Iterator[bytes]:
         """Return the body of the streamed response.
 
         :param loads: the loads of other gateways, awaited before a server is chosen.
@@ -90,13 +90,15 @@
             loads.wait()
             self._count_previous_turns(grant)
             self._admit_program(grant, allowance)
-            exit_stack.enter_context(self._components.admission.turn(self._attempt, self._service))
+            exit_stack.enter_context(
+                self._components.admission.track_turn(self._attempt, self._service)
+            )
             opened = relay.open()
             if opened.answer.status != HTTPStatus.OK:
                 yield self._relay_failure(opened.answer, sender)
                 return
             for events in relay.events():
-                grant.cover(relay.relayed)
+                grant.ensure_granted(relay.relayed)
                 if len(events) == len(relay.relayed):
                     self._response.start_stream(opened.answer)
                 self._response.note_output(len(events))
@@ -158,16 +160,16 @@
     def _request_admission(self, grant: TurnGrant, allowance: Allowance) -> None:
         sizes, service = self._components.program_sizes, self._service
         if service is None or service.engine is None:
-            allowance.begin_program(sizes.expected(self._route.name))
+            allowance.admit_program(sizes.expected_requests(self._route.name))
             return
         # The permit issuer counts every program it admits, so the servers' capacity comes first.
         turns = sizes.expected_turns(self._route.name)
         new = NewProgram(self._attempt, service, turns, grant.is_continued)
-        self._components.admission.begin_program(new)
+        self._components.admission.request_admission(new)
         try:
-            allowance.begin_program(sizes.expected(self._route.name))
+            allowance.admit_program(sizes.expected_requests(self._route.name))
         except RefusedError:
-            self._components.admission.did_not_begin(new)
+            self._components.admission.cancel_admission(new)
             raise
 
     def _relay_failure(self, answer: Answer, sender: AttemptSender) -> bytes:
--- a/yarrowwall/machine/gateway_role.py
+++ b/yarrowwall/machine/gateway_role.py
@@ -9,8 +9,8 @@
 
 from yarrowwall import decisions
 from yarrowwall.budgets.ledger import ReplicatedLedger
+from yarrowwall.capacity.admission_client import AdmissionClient
 from yarrowwall.capacity.load_reports import LoadReporter
-from yarrowwall.capacity.program_rooms import ProgramRooms
 from yarrowwall.decisions import DecisionLog
 from yarrowwall.dispatch.components import DispatchComponents
 from yarrowwall.dispatch.pool import ConnectionPool
@@ -24,21 +24,21 @@
 from yarrowwall.messages.relaying import Neighbour
 from yarrowwall.messages.replicated import GroupView
 from yarrowwall.metrics import MachineMetrics
+from yarrowwall.policy.active_programs import ActivePrograms
 from yarrowwall.policy.freshness import Freshness
 from yarrowwall.policy.memory_budget import MemoryBounds, MemoryBudget
-from yarrowwall.policy.programs_under_way import ProgramsUnderWay
 from yarrowwall.policy.servers import ServerDirectory
 from yarrowwall.ports.platform import Adapter
-from yarrowwall.quotas.borrowing import QuotaBorrower
-from yarrowwall.replication.forwarding import Forwarder
+from yarrowwall.quotas.permit_client import PermitClient
+from yarrowwall.replication.forwarding import ForwardHandler
 from yarrowwall.replication.group_views import GroupViews
 from yarrowwall.replication.loss_checks import LossChecks
 from yarrowwall.replication.neighbour_finder import NeighbourFinder
-from yarrowwall.replication.passage import NeighbourPassage
+from yarrowwall.replication.neighbour_forwarder import NeighbourForwarder
 from yarrowwall.replication.quorum_client import QuorumClient
 from yarrowwall.replication.relayed_links import RelayedLinkTable
 from yarrowwall.replication.rpc import serve_requests
-from yarrowwall.watching.store import ReaderStore
+from yarrowwall.watching.store_client import StoreClient
 
 #: Seconds between rounds of housekeeping.
 HOUSEKEEPING_SECONDS = 0.5
@@ -48,7 +48,7 @@
 STOP_MARGIN_SECONDS = 0.7
 
 
-class GatewayService:
+class GatewayRole:
     """Runs a gateway."""
 
     def __init__(
@@ -56,7 +56,7 @@
         settings: MachineSettings,
         own: GatewaySettings,
         adapter: Adapter,
-        store: ReaderStore,
+        store: StoreClient,
         listeners: EarlyListeners,
         log: DecisionLog,
     ) -> None:
@@ -75,18 +75,18 @@
         links = self._links = RelayedLinkTable(settings.node_id, log, time.monotonic)
         own_address = Neighbour(settings.node_id, settings.zone, settings.peer_address)
         self._finder = NeighbourFinder(own_address, self._views, links)
-        self._forwarder = Forwarder(links, self._is_passed_on_to)
-        store.detour.use(NeighbourPassage(links, time.monotonic))
+        self._forwarder = ForwardHandler(links, self._is_passed_on_to)
+        store.relayed_reads.set_forwarder(NeighbourForwarder(links, time.monotonic))
         client = QuorumClient(settings.zone, self._views, links, time.monotonic)
         losses = LossChecks(self._views, links, store, log, time.monotonic)
-        client.has_lost, client.on_all_gone = losses.has_lost, losses.check
-        programs = ProgramsUnderWay()
+        client.has_lost, client.on_all_replaced = losses.has_lost, losses.check
+        programs = ActivePrograms()
         self._ledger = ReplicatedLedger(settings.zone, self._views, client, log, time.monotonic)
         self._loads = LoadReporter(
             settings.node_id, self._directory, self._views, links, time.monotonic, programs
         )
-        rooms = ProgramRooms(self._directory, self._loads, programs, log, time.monotonic)
-        self._quotas = QuotaBorrower(settings.zone, self._views, links, log, time.monotonic)
+        rooms = AdmissionClient(self._directory, self._loads, programs, log, time.monotonic)
+        self._quotas = PermitClient(settings.zone, self._views, links, log, time.monotonic)
         bounds = settings.bounds
         self._freshness = Freshness(bounds.revocation_s, bounds.configuration_s)
         dispatch = DispatchComponents(
@@ -123,7 +123,7 @@
         """Begin to follow the store and to listen."""
         self._followers.start()
         self._loads.start()
-        if self._settings.takes_forwarded:
+        if self._settings.accepts_forwarded_requests:
             self._start_forwarding()
         callers = ResilientListener(self._listeners.take(self._own.http_address), self._log)
         eventlet.spawn_n(serve, callers, self.gateway, self._limits, self._log)
@@ -162,18 +162,18 @@
             eventlet.sleep(0.05)
         self.gateway.note_process_ended()
 
-    def measure(self, metrics: MachineMetrics) -> None:
+    def update_metrics(self, metrics: MachineMetrics) -> None:
         """Set the metrics that are measured when they are asked for."""
         metrics.set_age(self.gateway.configuration_age_s)
         metrics.set_relayed(self._links.relayed, self._forwarder.forwarded)
         metrics.set_relay_refusals(self._links.refused, self._forwarder.refused)
-        metrics.set_reader_detours(self._store.detour.outcomes)
+        metrics.set_reader_detours(self._store.relayed_reads.outcomes)
         metrics.set_held(
             {
                 "all": self._memory.held,
                 "peak": self._memory.peak,
                 "bound": self._memory.bounds.total,
-                "server_with_most": self._memory.most_for_a_server,
+                "server_with_most": self._memory.largest_server_bytes,
             }
         )
 
@@ -185,10 +185,12 @@
         them through those; one that hears nothing of the configuration refuses all that come
         with a key.
         """
-        if self._links.paths.is_served(time.monotonic()):
+        if self._links.paths.has_working_neighbour(time.monotonic()):
             return False
         is_able = (
-            self._followers.is_informed and self._ledger.is_reachable and self.gateway.serves_keys
+            self._followers.has_initial_state
+            and self._ledger.is_reachable
+            and self.gateway.serves_keys
         )
         return is_able and not self.gateway.is_stopping
 
@@ -207,7 +209,7 @@
             eventlet.sleep(HOUSEKEEPING_SECONDS)
             self._directory.forget_vanished(time.monotonic())
             self._pool.close_expired()
-            self._quotas.keep_house()
+            self._quotas.drop_expired()
             self._ledger.probe()
             self._links.probe()
 
--- a/yarrowwall/platform/store.py
+++ b/yarrowwall/platform/store.py
@@ -17,11 +17,11 @@
     Change,
     Changes,
     ConflictError,
-    HistoryForgottenError,
+    HistoryExpiredError,
     Listing,
     ObjectStoreError,
     StoredObject,
-    StoreSilentError,
+    StoreTimeoutError,
     WatchInterruptedError,
 )
 
@@ -61,16 +61,16 @@
         self._watching: dict[str, _OpenConnection] = {}
         self._interrupted: set[str] = set()
 
-    def list(self, kind: str, timeout_s: float, may_be_old: bool = False) -> Listing:
+    def list(self, kind: str, timeout_s: float, allow_stale: bool = False) -> Listing:
         """Return all objects of a kind.
 
         :param timeout_s: timeout of each page.
-        :param may_be_old: whether the list may be some seconds old, at a tenth of the cost.
+        :param allow_stale: whether the list may be some seconds old, at a tenth of the cost.
         """
         items: list[StoredObject] = []
         revision: int | None = None
         path = f"/objects/{kind}"
-        stale_query = "stale=1" if may_be_old else ""
+        stale_query = "stale=1" if allow_stale else ""
         query = stale_query
         while True:
             target = f"{path}?{query}" if query else path
@@ -100,7 +100,7 @@
             self._watching.pop(channel, None)
             self._interrupted.discard(channel)
         if status == HTTPStatus.GONE:
-            raise HistoryForgottenError(f"{kind} since {revision}")
+            raise HistoryExpiredError(f"{kind} since {revision}")
         changes = [
             Change(read_object(event["object"]), bool(event["gone"]))
             for event in document["events"]
@@ -128,7 +128,7 @@
                 del self._idle[channel]
                 opened.connection.close()
 
-    def wait_for_contact(self, seconds: float) -> None:
+    def wait_for_recovery(self, seconds: float) -> None:
         """Sleep."""
         eventlet.sleep(seconds)
 
@@ -184,7 +184,7 @@
             if connection is not None:
                 connection.close()
             is_silent = isinstance(error, AnswerTimeoutError | ConnectTimeoutError)
-            failure = StoreSilentError if is_silent else ObjectStoreError
+            failure = StoreTimeoutError if is_silent else ObjectStoreError
             raise failure(f"{method} {path}: {error}") from error
         except BaseException:
             if connection is not None:
