--- a/yarrowwall/gateway/bodies.py
+++ b/yarrowwall/gateway/bodies.py
@@ -32,7 +32,11 @@
     """
 
     def __init__(
-        self, environ: dict[str, Any], memory: MemoryBudget, request_memory: RequestMemory, limit: int
+        self,
+        environ: dict[str, Any],
+        memory: MemoryBudget,
+        request_memory: RequestMemory,
+        limit: int,
     ) -> None:
         self._source = environ["wsgi.input"]
         length = environ.get("CONTENT_LENGTH")
