--- a/features/bad_input.feature
+++ b/features/bad_input.feature
@@ -1,6 +1,6 @@
 @shared_system
-Feature: Bad input gets a typed error
-  Nothing is lost and the node stays up.
+Feature: Invalid input is answered with a typed error
+  Nothing is lost and the node keeps running.
 
   Scenario Outline: <what> is refused
     When "<body>" is posted to "<path>"
@@ -23,7 +23,7 @@
     When a body of 20000000 bytes is announced
     Then the answer is status 413 with type "invalid_request"
 
-  Scenario: An unknown program is told so
+  Scenario: A call of an unknown program is refused
     When call 1 is made of the program "zone-a.pnone"
     Then the answer is status 404 with type "program_unknown"
 
@@ -39,12 +39,12 @@
       | Yarrowwall-Priority   | now   |
       | Yarrowwall-Repeatable | maybe |
 
-  Scenario: A caller that vanishes loses nothing
+  Scenario: The call of a caller that disconnects still finishes
     Given a program opened at node 0
     When a caller starts call 1 as a stream at node 1 and closes its connection
     Then call 1 finishes all the same and is answered from the record
 
-  Scenario: A caller that sends its body too slowly holds up nobody
+  Scenario: A caller that sends its body too slowly does not block others
     When a caller sends half a body and stops
     Then other callers are served meanwhile
 
--- a/features/failures.feature
+++ b/features/failures.feature
@@ -1,9 +1,9 @@
-Feature: Processes that fail, stop and misbehave
-  Real processes on loopback: planned stops under load, killed owners, and
-  callers that send nonsense or go away.
+Feature: Failing and stopping processes, and invalid input
+  Real processes on loopback: planned stops under load, killed owners, lost disks and
+  invalid frames.
 
   @own_system
-  Scenario: A planned stop cuts no request short
+  Scenario: A planned stop interrupts no request
     Given 24 callers that stream long answers through every node
     When node 1 is asked to stop while they stream
     Then every answer is whole
@@ -11,7 +11,7 @@
     And the other nodes accept new programs
 
   @own_system
-  Scenario: A killed owner's caller comes back and gets its answer or a true outcome
+  Scenario: A caller of a killed owner retries and gets its answer or a correct outcome
     Given programs whose long calls run at every node
     When node 1 is killed while they run
     Then each caller that comes back through another node gets the whole answer or a true "outcome_unknown"
--- a/features/receiving.feature
+++ b/features/receiving.feature
@@ -1,19 +1,19 @@
-Feature: Who listens on a connection neither misses nor waits busily
-  The hub listens for as long as a connection lasts, also while its greenthread is at work.
+Feature: Listeners on connections miss no data and do not busy-wait
+  The hub keeps its listener for the whole connection, also while the greenthread is busy.
 
-  Scenario: What comes while a request is worked on is taken afterwards
+  Scenario: Data that arrives while a request is processed is received afterwards
     Given a connection whose greenthread waits 50 ms for something else after each piece
-    When 5 pieces come at once and one after another
+    When 5 pieces arrive at once and as many one after another
     Then each byte is received once and in order
     And waiting took less than 20 ms of processor time
 
-  Scenario: The other end goes while a request is worked on
+  Scenario: The peer closes the connection while a request is processed
     Given a connection whose greenthread waits 50 ms for something else after each piece
-    When a piece and the end come at once
-    Then the end is received after the piece
-    And nothing is listened for any more
+    When a piece and the end of the connection arrive at once
+    Then the end of the connection is received after the piece
+    And no listener is left
 
-  Scenario: A caller that leaves is noticed, one that pipelines is not gone
-    Then a caller that leaves while its request is worked on is noticed within 50 ms
-    And one that sends its next request meanwhile is not
-    And nobody is told of a caller that leaves behind its answer
+  Scenario: A disconnected caller is noticed, and a pipelining one is not taken for one
+    Then a caller that disconnects while its request is processed is noticed within 50 ms
+    And a caller that sends its next request early is not
+    And no listener is left for a caller that leaves after its response
--- a/features/silent_connections.feature
+++ b/features/silent_connections.feature
@@ -1,15 +1,15 @@
-Feature: Connections that fall silent are found by time-outs of our own
-  An open connection may say nothing more, without a reset, while the kernel at its other end
-  goes on acknowledging and new connections work.
+Feature: Timeouts detect connections that fall silent
+  An open connection may deliver no more data without a reset, while the peer's kernel still
+  acknowledges packets and new connections work.
 
   Scenario: A connection between machines is replaced
     Given a link to a replica through a proxy
     When the link's connection falls silent
-    Then questions are answered again within 2.0 s
+    Then requests are answered again within 2.0 s
 
-  Scenario: A connection on which answers are late now and then is kept
+  Scenario: A connection with occasional late answers is kept
     Given a link to a replica through a proxy
-    When some answers come after their time-out
+    When some answers arrive after their timeout
     Then the connection is the same
 
   @proxied_world
@@ -30,22 +30,22 @@
     Then every answer is 200
     And all came within 2.5 s
 
-  Scenario: The proxy of these scenarios resets nothing by itself
+  Scenario: The proxy used here resets no connections by itself
     Given a server behind a proxy that answers in two pieces
     When 4 clients send 3000 requests each over one connection
     Then every request is answered
 
-  Scenario: A connection that is closed here leaves no listener under its number
+  Scenario: A closed connection leaves no listener under its descriptor's number
     Given a link to a replica that never answers
     When the link is closed
-    Then eventlet's hub listens no more to its connection
-
-  # Guards against groups that count as out of reach, and turns that are refused or cut for it, since
-  # a time-out is told before a reply that came in time, once a process that was held up goes on.
-  Scenario Outline: <what> counts that came in time though the process goes on only after the time-out
-    Given a replica in a thread of its own that answers after 100 ms
-    When the process is held up for 500 ms behind a question with 300 ms
-    Then <what> is there
+    Then eventlet's hub has no listener for its connection
+
+  # Guards against groups that count as unreachable, and turns that are refused or aborted for it,
+  # because a process that was blocked handles a timeout before a reply that arrived in time.
+  Scenario Outline: <what> that arrived in time is used although the process was blocked until later
+    Given a replica in another thread that answers after 100 ms
+    When the process is blocked for 500 ms during a request with a timeout of 300 ms
+    Then <what> is received
 
     Examples:
       | what                       |
--- a/features/start_and_retries.feature
+++ b/features/start_and_retries.feature
@@ -1,17 +1,17 @@
-Feature: Starts, and answers that do not come
+Feature: Process starts, retries, and reports of failed programs
 
-  Scenario: A caller waits at a port whose program is still being loaded
+  Scenario: A caller can connect while the process is still loading
     Given a listening socket that is opened early
-    When a caller sends something before anybody takes the socket
-    Then whoever takes it gets what was sent
-    And a socket that nobody took is closed at the end
+    When a caller sends data before the socket is taken
+    Then the data can be received once the socket is taken
+    And a socket that was not taken is closed at the end
 
   @platform_world
-  Scenario: A request that comes right after a start waits until the gateway knows its routes
+  Scenario: A request right after a start waits until the gateway has its routes
     Given a route "records" of type "mutating" with a server
     And a store that takes 150 ms for each list
     When gateway 0 is killed and starts again
-    And a client sends "payload" on "records" as soon as the port is open
+    And a client sends "payload" on "records" as soon as its port is open
     Then the answer is 200 with the server's seal
 
   @platform_world
@@ -19,25 +19,25 @@
     Given a route "records" of type "mutating" with a server
     And a store that takes 5000 ms for each list
     When gateway 0 is killed and starts again
-    And a client sends "payload" on "records" as soon as the port is open
+    And a client sends "payload" on "records" as soon as its port is open
     Then the answer is 503 with Retry-After
     And it came within 1000 ms
 
   @platform_world
-  Scenario: A list that the store never answers is asked for again soon
+  Scenario: A list that the store does not answer is requested again soon
     Given a route "records" of type "mutating" with a server
     And a store that loses the next 3 lists
     When gateway 0 is killed and starts again
     Then gateway 0 has its configuration less than 2.4 s after its first line
 
-  Scenario: A store whose queue of connections is full is tried again before the kernel does
-    Given a store that takes no connections
+  Scenario: Connecting to a store with a full backlog fails before the kernel retries
+    Given a store that accepts no connections
     When its objects are listed within 300 ms
     Then the store counts as unreachable after at most 600 ms
-    And watching its objects for 5 s fails after at most 600 ms
+    And a watch of its objects for 5 s fails after at most 600 ms
 
   @platform_world
-  Scenario: Long watches that were lost in an outage begin anew once the short one fails
+  Scenario: Long watches that were lost in an outage restart once the short one fails
     Given a route "records" of type "mutating" with a server
     When the store loses all watches that wait or begin within 1 s
     And a server of "records" is added
@@ -50,7 +50,7 @@
     Then the configuration is in force at gateway 0 within 2 s
 
   @platform_world
-  Scenario: A lookup whose answer is late by what is usual goes to another server
+  Scenario: A lookup whose answer takes unusually long is sent to another server
     Given a route "lookup" of type "idempotent" with two servers of which one may fall silent
     When 40 lookups on "lookup" were answered
     And the server of "lookup" that got most of them falls silent
@@ -59,23 +59,23 @@
     And each came within 700 ms
 
   @platform_world
-  Scenario: Not run is not said of a request that may have run at an earlier server
-    Given a route "lookup" of type "idempotent" with two servers of which the first closes without an answer and the other turns it away
+  Scenario: A request that may have run at an earlier server is not reported as not run
+    Given a route "lookup" of type "idempotent" with two servers of which the first closes without an answer and the other refuses it as not run
     When 1 clients send nothing on "lookup"
     Then the answer is 502 without Retry-After
 
   @platform_world
-  Scenario: A request whose caller left is sent to no other server
+  Scenario: A request whose caller disconnected is not sent to another server
     Given a route "lookup" of type "idempotent" with two servers that never answer
     When a client sends "payload" on "lookup" and leaves after 200 ms
     Then the servers of "lookup" got it once after a while
 
-  Scenario: Second sendings are bounded by a share of the first ones
-    Given a budget for second sendings of a service
-    When 100 requests are late and none is answered
-    Then at most 18 of them are sent again
+  Scenario: Retries are limited to a share of the requests
+    Given a retry budget of a service
+    When 100 requests time out
+    Then at most 18 of them are retried
 
-  Scenario Outline: The programs that failed are told by cause
+  Scenario Outline: Failed programs are reported with their cause
     Given the log of a program whose <kind> request <end>
     Then the failures name it with cause "<cause>"
 
@@ -92,7 +92,7 @@
       | stream     | lost its connection by left_while_writing | caller left                      |
       | stream     | lost its connection by process_ended      | connection ended before its answer |
 
-  Scenario Outline: A conversation that reached no server is told by what refused it
+  Scenario Outline: A conversation that reached no server is reported with its cause
     Given the log of a turn that goes on from an earlier one and <end>
     Then the conversations name its program with "<cause>"
 
@@ -104,16 +104,16 @@
       | for which there is no room                | refused for want of room, its turns were read       |
       | which no server took                      | refused for another reason, its turns were read     |
 
-  Scenario: A conversation that reached a server in a later try is not told as unserved
+  Scenario: A conversation that reached a server in a later try is not reported as unserved
     Given the log of a turn that goes on from an earlier one and for which there is no room
     And it was sent in its second try
     Then the conversations name no program
 
-  Scenario: Programs that were late are told by what they spent their time on
+  Scenario: Late programs are reported with what they spent their time on
     Given the log of a program of 2 s whose turns waited 1.5 s for their first events
     Then the late programs name it with 0.4 s, most of it spent on "waits for first events"
 
-  Scenario Outline: Programs that did not fail are not among the failures
+  Scenario Outline: Programs that did not fail are not reported as failures
     Given the log of a program whose <kind> request <end>
     Then the failures do not name it
 
@@ -124,7 +124,7 @@
       | mutating   | was answered at last           |
       | idempotent | is still under way             |
 
-  Scenario Outline: Whoever goes on failing for hours pauses as before: <who>
+  Scenario Outline: Pauses stay bounded after hours of failures: <who>
     Given <who> that has failed <count> times
     When it fails once more
     Then its pause is <pause> s at most, and it goes on
--- a/features/steps/connection_end_steps.py
+++ b/features/steps/connection_end_steps.py
@@ -1,4 +1,4 @@
-"""Steps about connections of callers that end before their answers."""
+"""Steps about callers' connections that end before their responses."""
 
 import os
 import resource
@@ -29,13 +29,13 @@
 from yarrowwall.policy.freshness import Freshness
 from yarrowwall.policy.memory_budget import MemoryBounds, MemoryBudget
 
-#: Lets a close reset the connection.
+#: SO_LINGER option that makes a close reset the connection.
 RESET = struct.pack("ii", 1, 0)
-#: Bytes that a caller's own kernel takes: next to none, so that the rest stays at the gateway.
+#: Receive buffer of a caller's kernel: small, so that unread bytes stay at the gateway.
 BUFFER_BYTES = 16 * 1024
-#: Lines that tell why a caller got no whole answer.
+#: Log lines that say why a caller got no complete response.
 ENDS = ("AnswerBrokenOff", "CallerLeft", "CallerGivenUp", "ConnectionEnded", "InternalFault")
-#: Seconds in which a second line for the same end would have come.
+#: Seconds within which a second log line for the same end would have been written.
 SETTLE_SECONDS = 0.3
 
 
@@ -49,8 +49,8 @@
     return connection
 
 
-def begin(context: Context, route: str, deadline_ms: int = 20_000) -> socket.socket:
-    """Return a connection over which a whole request was sent."""
+def send_request(context: Context, route: str, deadline_ms: int = 20_000) -> socket.socket:
+    """Return a connection over which a complete request was sent."""
     connection = connect(context)
     head = (
         f"POST /{route}/x HTTP/1.1\r\nHost: {HOST}\r\nContent-Length: 0\r\n"
@@ -65,15 +65,15 @@
     connection.close()
 
 
-def told(context: Context) -> list[str]:
-    """Return what the gateway tells of connections that ended, by kind or reason."""
+def logged_reasons(context: Context) -> list[str]:
+    """Return the reasons, or kinds, of the gateway's log lines about ended connections."""
     lines = world(context).log("edge-0")
     return [line.get("reason", line["kind"]) for line in lines if line["kind"] in ENDS]
 
 
-@when('a caller of "{route}" resets its connection unread')
-def resets_unread(context: Context, route: str) -> None:
-    connection = begin(context, route)
+@when('a caller of "{route}" resets its connection without reading')
+def resets_without_reading(context: Context, route: str) -> None:
+    connection = send_request(context, route)
     assert connection.recv(1)
     time.sleep(0.5)
     reset(connection)
@@ -81,14 +81,14 @@
 
 @when('a caller of "{route}" resets its connection while it waits')
 def resets_waiting(context: Context, route: str) -> None:
-    connection = begin(context, route)
+    connection = send_request(context, route)
     wait_until(lambda: bool(arrivals(context, route)), "the request runs")
     reset(connection)
 
 
-@when('a caller of "{route}" ends its sending side unread')
-def half_closes_unread(context: Context, route: str) -> None:
-    connection = begin(context, route)
+@when('a caller of "{route}" half-closes its connection without reading')
+def half_closes_without_reading(context: Context, route: str) -> None:
+    connection = send_request(context, route)
     assert connection.recv(1)
     time.sleep(0.5)
     connection.shutdown(socket.SHUT_WR)
@@ -96,13 +96,13 @@
 
 @when('a caller of "{route}" never reads')
 def never_reads(context: Context, route: str) -> None:
-    begin(context, route)
+    send_request(context, route)
 
 
 @when('gateway {number:d} gets SIGTERM while {count:d} callers wait on "{route}"')
 def stop_while_many_wait(context: Context, number: int, count: int, route: str) -> None:
     for _ in range(count):
-        begin(context, route)
+        send_request(context, route)
     wait_until(lambda: len(arrivals(context, route)) == count, "the requests run")
     process = world(context).kill(f"edge-{number}", signal.SIGTERM)
     assert process.wait(timeout=15.0) == 0
@@ -135,29 +135,29 @@
     connection.close()
 
 
-@then("the gateway tells once that its connection ended, as {reason}")
-def told_once(context: Context, reason: str) -> None:
-    wait_told(context, [reason])
+@then("the gateway logs once that its connection ended, as {reason}")
+def logged_once(context: Context, reason: str) -> None:
+    wait_logged(context, [reason])
 
 
-@then("the gateway tells {count:d} times that a connection ended, as {reason}")
-def told_times(context: Context, count: int, reason: str) -> None:
-    wait_told(context, [reason] * count)
+@then("the gateway logs {count:d} times that a connection ended, as {reason}")
+def logged_times(context: Context, count: int, reason: str) -> None:
+    wait_logged(context, [reason] * count)
 
 
-def wait_told(context: Context, expected: list[str]) -> None:
-    wait_until(lambda: len(told(context)) >= len(expected), f"{expected} is told")
+def wait_logged(context: Context, expected: list[str]) -> None:
+    wait_until(lambda: len(logged_reasons(context)) >= len(expected), f"{expected} is told")
     time.sleep(SETTLE_SECONDS)
-    assert told(context) == expected, told(context)
+    assert logged_reasons(context) == expected, logged_reasons(context)
 
 
-@then("the gateway tells of no connection that ended")
-def told_nothing(context: Context) -> None:
+@then("the gateway logs no connection that ended")
+def logged_nothing(context: Context) -> None:
     time.sleep(SETTLE_SECONDS)
-    assert not told(context), told(context)
+    assert not logged_reasons(context), logged_reasons(context)
 
 
-# Connections that can't be accepted
+# Connections that cannot be accepted
 
 
 @given('a caller of "{route}" that was answered and keeps its connection')
@@ -166,8 +166,8 @@
     assert world(context).ask(route, b"x", connection=context.kept).status == 200
 
 
-def without_descriptors(context: Context, name: str, key: str, count: int) -> None:
-    """Let callers connect to a machine that may open no descriptor meanwhile."""
+def run_out_of_descriptors(context: Context, name: str, key: str, count: int) -> None:
+    """Connect to a machine while its process is out of descriptors."""
     pid = world(context).processes[name].pid
     soft, hard = resource.prlimit(pid, resource.RLIMIT_NOFILE)
     resource.prlimit(pid, resource.RLIMIT_NOFILE, (0, hard))
@@ -181,14 +181,14 @@
         caller.close()
 
 
-@when("gateway {number:d} may open no descriptor while {count:d} callers connect")
+@when("gateway {number:d} is out of descriptors while {count:d} callers connect")
 def gateway_without_descriptors(context: Context, number: int, count: int) -> None:
-    without_descriptors(context, f"edge-{number}", "http", count)
+    run_out_of_descriptors(context, f"edge-{number}", "http", count)
 
 
-@when("gateway {number:d} may open no descriptor while {count:d} callers connect for its metrics")
+@when("gateway {number:d} is out of descriptors while {count:d} callers connect for its metrics")
 def metrics_without_descriptors(context: Context, number: int, count: int) -> None:
-    without_descriptors(context, f"edge-{number}", "metrics", count)
+    run_out_of_descriptors(context, f"edge-{number}", "metrics", count)
 
 
 @then("the metrics of gateway {number:d} can be read")
@@ -205,25 +205,25 @@
     context.kept.close()
 
 
-@then("the gateway told of connections that it could not accept")
-def told_of_accepts(context: Context) -> None:
+@then("the gateway logged connections that it could not accept")
+def logged_accept_failures(context: Context) -> None:
     assert any(line["kind"] == "AcceptFailed" for line in world(context).log("edge-0"))
 
 
-@when("replica {number:d} may open no descriptor while {count:d} machines connect")
+@when("replica {number:d} is out of descriptors while {count:d} machines connect")
 def replica_without_descriptors(context: Context, number: int, count: int) -> None:
-    without_descriptors(context, f"storage-{number}", "peer", count)
+    run_out_of_descriptors(context, f"storage-{number}", "peer", count)
 
 
 @then("replica {number:d} takes connections and closes one that sends no message")
-def replica_takes(context: Context, number: int) -> None:
+def replica_accepts(context: Context, number: int) -> None:
     address = split_address(world(context).addresses[f"storage-{number}"]["peer"])
     with socket.create_connection(address, timeout=5.0) as connection:
         connection.sendall(b"\xff" * 64)
         assert not connection.recv(1)
 
 
-# Requests under way
+# Active requests
 
 
 @given("a gateway without a configuration and a caller's request")
@@ -253,33 +253,33 @@
     }
 
 
-@when("the WSGI server has taken all of its answer")
-def answer_taken(context: Context) -> None:
+@when("the WSGI server has read the whole response")
+def response_read(context: Context) -> None:
     context.body = context.gateway(context.environ, lambda status, headers: None)
     assert b"".join(context.body)
 
 
-@then("it is under way")
-def under_way(context: Context) -> None:
+@then("the request is active")
+def request_active(context: Context) -> None:
     assert context.gateway.running == 1
 
 
 @when("the WSGI server has written the last bytes")
-def answer_written(context: Context) -> None:
+def response_written(context: Context) -> None:
     context.body.close()
 
 
-@then("it is not under way")
-def not_under_way(context: Context) -> None:
+@then("the request is not active")
+def request_not_active(context: Context) -> None:
     assert context.gateway.running == 0
 
 
-# Answers
+# Responses
 
 
-@when('a caller of "{route}" ends its sending side while it waits')
+@when('a caller of "{route}" half-closes its connection while it waits')
 def half_closes_waiting(context: Context, route: str) -> None:
-    context.caller = begin(context, route)
+    context.caller = send_request(context, route)
     wait_until(lambda: bool(arrivals(context, route)), "the request runs")
     context.caller.shutdown(socket.SHUT_WR)
 
@@ -309,22 +309,22 @@
     context.answers = [world(context).ask(route, b"x")]
 
 
-@then("its body is whole and empty")
+@then("its body is complete and empty")
 def empty_body(context: Context) -> None:
     (answer,) = context.answers
     assert answer.is_whole and not answer.body, answer
 
 
-@then("the gateway tells of no fault of its own")
+@then("the gateway logs no internal fault")
 def no_fault(context: Context) -> None:
     assert "InternalFault" not in [line["kind"] for line in world(context).log("edge-0")]
 
 
-# A process that runs late
+# A blocked process
 
 
-@given("a server of callers whose idle connections and heads have {limit:d} ms")
-def short_limits(context: Context, limit: int) -> None:
+@given("a server for callers that times out idle connections and heads after {limit:d} ms")
+def server_with_timeouts(context: Context, limit: int) -> None:
     def answer(environ: dict[str, Any], start_response: Callable[..., Any]) -> list[bytes]:
         start_response("200 OK", [("Content-Length", "0")])
         return [b""]
@@ -339,20 +339,20 @@
     context.server_address = listener.getsockname()
 
 
-@when("{what} comes after {pause:d} ms and the process runs again {late:d} ms later")
-def comes_while_late(context: Context, what: str, pause: int, late: int) -> None:
+@when("{what} arrives after {pause:d} ms and the process is blocked for {late:d} ms")
+def arrives_while_blocked(context: Context, what: str, pause: int, late: int) -> None:
     request = f"GET /x HTTP/1.1\r\nHost: {HOST}\r\n\r\n".encode()
     half = len(request) // 2 if what == "the second half of a head" else 0
     context.caller = green_socket.create_connection(context.server_address)
     context.caller.sendall(request[:half])
     near, far = green_socket.socketpair()
 
-    def hold_up() -> None:
+    def block() -> None:
         near.recv(1)
         context.caller.sendall(request[half:])
         patcher.original("time").sleep(late / 1000.0)
 
-    eventlet.spawn(hold_up)
+    eventlet.spawn(block)
     eventlet.sleep(pause / 1000.0)
     far.send(b"x")
 
--- a/features/steps/failure_steps.py
+++ b/features/steps/failure_steps.py
@@ -1,4 +1,4 @@
-"""Steps about real processes that fail and callers that misbehave."""
+"""Steps about real processes that fail and callers that send invalid input."""
 
 import json
 import shutil
@@ -30,7 +30,7 @@
         self.program = context.system.open_program(node)
         self.text = f"question of {name}"
         self.received = b""
-        self.has_begun = threading.Event()
+        self.has_started = threading.Event()
 
     def run(self) -> None:
         body = {
@@ -54,7 +54,7 @@
             )
             for data in response.read_chunked():
                 self.received += data
-                self.has_begun.set()
+                self.has_started.set()
         except (urllib3.exceptions.HTTPError, OSError):
             pass
 
@@ -87,7 +87,7 @@
     for caller in context.callers:
         caller.start()
     for caller in context.callers:
-        assert caller.has_begun.wait(60), "a stream did not begin"
+        assert caller.has_started.wait(60), "a stream did not begin"
 
 
 @given("{count:d} callers that stream long answers through every node")
@@ -135,7 +135,7 @@
     "each caller that comes back through another node gets the whole answer "
     'or a true "outcome_unknown"'
 )
-def come_back(context: Context) -> None:
+def retry_elsewhere(context: Context) -> None:
     for caller in context.callers:
         caller.join(60)
         if caller.is_whole():
@@ -244,7 +244,7 @@
 
 
 @when("a caller starts call 1 as a stream at node {node:d} and closes its connection")
-def vanish(context: Context, node: int) -> None:
+def disconnect(context: Context, node: int) -> None:
     body = json.dumps(
         {
             "model": MODEL,
--- a/features/steps/gateway_loss_steps.py
+++ b/features/steps/gateway_loss_steps.py
@@ -1,4 +1,4 @@
-"""Steps about gateways whose group has lost all copies of its records."""
+"""Steps about gateways when a group has lost all copies of its records."""
 
 import os
 import time
@@ -32,14 +32,14 @@
 
 
 class SilentStore(GroupsStore):
-    """A store that does not answer."""
+    """A store that does not answer reads."""
 
     def get(self, kind: str, name: str, timeout_s: float) -> StoredObject | None:
         raise StoreTimeoutError(name)
 
 
 def _address(context: Context, replica: RecordReplica) -> str:
-    """Return where a replica takes requests."""
+    """Serve a replica's requests; return its address."""
     listener = eventlet.listen(("127.0.0.1", 0))
     log = DecisionLog(replica.node_id)
     serving = eventlet.spawn(
@@ -98,15 +98,15 @@
     route = replace(ROUTE, is_stateful=kind == "stateful")
     _refusal(context, "t1", route)
     eventlet.sleep(seconds)
-    begun = time.monotonic()
+    started = time.monotonic()
     context.reason = _refusal(context, "t2", route)
-    context.took_s = time.monotonic() - begun
+    context.duration_s = time.monotonic() - started
 
 
 @then("the other one {verdict} refused for lost records")
 def refused_for_loss(context: Context, verdict: str) -> None:
     is_lost = verdict == "is"
     assert (context.reason == loss_reason(0)) is is_lost, context.reason
-    told = [line for line in context.noted if isinstance(line, decisions.GroupLost)]
-    assert told == ([decisions.GroupLost(0, 1, "a")] if is_lost else []), told
-    assert not is_lost or context.took_s < 0.1, context.took_s
+    logged = [line for line in context.noted if isinstance(line, decisions.GroupLost)]
+    assert logged == ([decisions.GroupLost(0, 1, "a")] if is_lost else []), logged
+    assert not is_lost or context.duration_s < 0.1, context.duration_s
--- a/features/steps/held_up_steps.py
+++ b/features/steps/held_up_steps.py
@@ -1,4 +1,4 @@
-"""Steps about a process that does not run while its replies arrive and its time-outs pass."""
+"""Steps about a process that is blocked while replies arrive and timeouts expire."""
 
 import socket
 import struct
@@ -31,10 +31,10 @@
 _HEADER = struct.Struct(">II")
 _STATUS = StatusReply("storage-0", "disk-0", 1, True, 1)
 _KEYS = KeysReply(ReplyStatus.OK, True, [], [], [], "", None)
-#: Seconds in which a question is answered that only opens the connection.
-_FIRST_S = 2.0
-#: Seconds from the start of a question to the moment at which the process is held up.
-_BEGUN_S = 0.02
+#: Timeout of the first request, which only opens the connection.
+_FIRST_TIMEOUT_S = 2.0
+#: Seconds from the start of a request until the process is blocked.
+_BLOCKED_AFTER_S = 0.02
 
 
 def _answer(listener: socket.socket, delay_s: float) -> None:
@@ -56,7 +56,7 @@
             connection.sendall(_HEADER.pack(len(body), number) + body)
 
 
-@given("a replica in a thread of its own that answers after {delay:d} ms")
+@given("a replica in another thread that answers after {delay:d} ms")
 def replica_in_thread(context: Context, delay: int) -> None:
     listener = socket.create_server(("127.0.0.1", 0))
     context.add_cleanup(listener.close)
@@ -64,47 +64,47 @@
     context.address = f"127.0.0.1:{listener.getsockname()[1]}"
 
 
-@when("the process is held up for {held:d} ms behind a question with {limit:d} ms")
-def held_up(context: Context, held: int, limit: int) -> None:
-    context.held_s, context.limit_s = held / 1000.0, limit / 1000.0
+@when("the process is blocked for {blocked:d} ms during a request with a timeout of {limit:d} ms")
+def process_blocked(context: Context, blocked: int, limit: int) -> None:
+    context.blocked_s, context.limit_s = blocked / 1000.0, limit / 1000.0
 
 
-def _hold_up(context: Context) -> None:
-    """Let the process stand still soon, as behind a read: time-outs come first then."""
+def _block_process(context: Context) -> None:
+    """Block the process soon, within a read; afterwards expired timeouts are handled first."""
     near, far = green_socket.socketpair()
 
-    def stand_still() -> None:
+    def block() -> None:
         near.recv(1)
-        patcher.original("time").sleep(context.held_s)
+        patcher.original("time").sleep(context.blocked_s)
 
-    eventlet.spawn(stand_still)
-    eventlet.spawn_after(_BEGUN_S, far.send, b"x")
+    eventlet.spawn(block)
+    eventlet.spawn_after(_BLOCKED_AFTER_S, far.send, b"x")
 
 
-@then("a reply is there")
-def reply_there(context: Context) -> None:
+@then("a reply is received")
+def reply_received(context: Context) -> None:
     link = LinkTable(DecisionLog("edge-0"), time.monotonic).get(context.address)
-    link.call(AskStatus(0), _FIRST_S)
-    _hold_up(context)
+    link.call(AskStatus(0), _FIRST_TIMEOUT_S)
+    _block_process(context)
     assert link.call(AskStatus(0), context.limit_s) == _STATUS
 
 
-@then("the reply of a quorum is there")
-def quorum_there(context: Context) -> None:
+@then("the reply of a quorum is received")
+def quorum_received(context: Context) -> None:
     views = GroupViews()
     views.update(GroupView(0, 1, [Member("storage-0", "disk-0", context.address, "zone-a")], []))
     links = LinkTable(DecisionLog("edge-0"), time.monotonic)
     client = QuorumClient("zone-a", views, links, time.monotonic)
-    client.check(0, _FIRST_S)
-    _hold_up(context)
+    client.check(0, _FIRST_TIMEOUT_S)
+    _block_process(context)
     client.check(0, context.limit_s)
 
 
-@then("a piece of an answer is there")
-def piece_there(context: Context) -> None:
-    connection: Any = open_socket(context.address, _FIRST_S)
+@then("a piece of an answer is received")
+def piece_received(context: Context) -> None:
+    connection: Any = open_socket(context.address, _FIRST_TIMEOUT_S)
     body = encode(AskStatus(0))
     connection.sendall(_HEADER.pack(len(body), 1) + body)
-    _hold_up(context)
+    _block_process(context)
     assert receive(connection, 1, context.limit_s)
     connection.close()
--- a/features/steps/platform_log_steps.py
+++ b/features/steps/platform_log_steps.py
@@ -18,7 +18,7 @@
 # Logs and metrics
 
 
-@then("explain tells of the program: admitted, granted, sent, answered, settled")
+@then("explain shows the program as admitted, granted, sent, answered, settled")
 def explained(context: Context) -> None:
     logs = sorted(world(context).folder.glob("*.log"))
     zipped = logs[0].with_suffix(".log.gz")
@@ -69,5 +69,5 @@
     world(context).start_machine("edge-0", is_gateway=True, output=writer)
     os.close(writer)
     world(context).wait_ready()
-    # Being ready tells that the configuration is known; the servers may follow a moment later.
+    # A ready gateway has its configuration; it may get the servers a moment later.
     time.sleep(0.5)
--- a/features/steps/platform_program_steps.py
+++ b/features/steps/platform_program_steps.py
@@ -118,6 +118,6 @@
     assert arrivals(context, "chat")[-1].body == expected
 
 
-@when("a turn goes on from one that never was")
+@when("a turn continues a turn that does not exist")
 def unknown_turn(context: Context) -> None:
     context.answers = [turn(context, "chat", "stranger", 10_000, X_Previous_Turn="never-was")]
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -1,4 +1,4 @@
-"""Steps about routes, clients and the answers they get."""
+"""Steps about routes, clients and the responses they get."""
 
 import socket
 import time
@@ -217,7 +217,7 @@
     assert arrival.attempt_id == context.answers[0].headers["X-Attempt-Id"]
 
 
-@then("the server was told at most {limit:d} ms")
-def told_deadline(context: Context, limit: int) -> None:
+@then("the server got a deadline of at most {limit:d} ms")
+def got_deadline(context: Context, limit: int) -> None:
     (arrival,) = arrivals(context, "records")
     assert 0 < int(arrival.headers["X-Deadline-Ms"]) <= limit
--- a/features/steps/platform_stream_steps.py
+++ b/features/steps/platform_stream_steps.py
@@ -32,7 +32,7 @@
 
 
 def add_pausing_stream(context: Context, route: str, pause: int, **fields: object) -> None:
-    """Add a route whose server makes four events."""
+    """Add a route whose server sends four events, with a pause after each."""
     context.made_at = []
 
     def script(call: QuietHandler, arrival: Arrival) -> bool:
@@ -113,7 +113,7 @@
 @then("{count:d} events came whole and in order, the first before the last was made")
 def events_as_made(context: Context, count: int) -> None:
     events_whole(context, count)
-    # The server's thread notes the time once it has sent the end, which may be here before.
+    # The server's thread notes the time after it has sent the end, which may arrive earlier.
     wait_until(lambda: bool(context.made_at), "the server has noted the end")
     assert context.first_at < context.made_at[0] - 0.3
 
--- a/features/steps/receiving_steps.py
+++ b/features/steps/receiving_steps.py
@@ -1,4 +1,4 @@
-"""Steps about listening on connections."""
+"""Steps about receiving from connections and watching for disconnected callers."""
 
 import time
 
@@ -26,12 +26,12 @@
         context.received.append(b"")
         receiver.close()
 
-    context.began_s = time.process_time()
+    context.started_s = time.process_time()
     context.greenthread = eventlet.spawn(receive)
     eventlet.sleep(0)
 
 
-@when("{count:d} pieces come at once and one after another")
+@when("{count:d} pieces arrive at once and as many one after another")
 def pieces(context: Context, count: int) -> None:
     context.sent = [b"%d" % number for number in range(2 * count)]
     for piece in context.sent[:count]:
@@ -47,13 +47,13 @@
     assert b"".join(context.received) == b"".join(context.sent), context.received
 
 
-@then("waiting took less than {most_ms:d} ms of processor time")
-def not_busy(context: Context, most_ms: int) -> None:
-    assert time.process_time() - context.began_s < most_ms / 1000.0
+@then("waiting took less than {max_ms:d} ms of processor time")
+def not_busy(context: Context, max_ms: int) -> None:
+    assert time.process_time() - context.started_s < max_ms / 1000.0
     context.greenthread.kill()
 
 
-@when("a piece and the end come at once")
+@when("a piece and the end of the connection arrive at once")
 def piece_and_end(context: Context) -> None:
     context.far.send(b"piece")
     eventlet.sleep(0.02)
@@ -61,50 +61,50 @@
     context.greenthread.wait()
 
 
-@then("the end is received after the piece")
-def end_behind(context: Context) -> None:
+@then("the end of the connection is received after the piece")
+def end_after_piece(context: Context) -> None:
     assert context.received == [b"piece", b""], context.received
 
 
-@then("nothing is listened for any more")
+@then("no listener is left")
 def not_listening(context: Context) -> None:
     hub = get_hub()
     assert context.near.fileno() not in hub.listeners[hub.READ]
 
 
-def _watched(leave: bool, send: bytes, work_s: float) -> tuple[bool, float]:
+def _watch_caller(leave: bool, send: bytes, processing_s: float) -> tuple[bool, float]:
     """Return whether a watch noticed that a caller left, and after how many seconds."""
     near, far = socket.socketpair()
-    began_s = time.monotonic()
+    started_s = time.monotonic()
     try:
         with CallerWatch(near):
             eventlet.sleep(0)
             far.send(send)
             if leave:
                 far.close()
-            eventlet.sleep(work_s)
+            eventlet.sleep(processing_s)
     except CallerDisconnectedError:
-        return True, time.monotonic() - began_s
-    return False, time.monotonic() - began_s
+        return True, time.monotonic() - started_s
+    return False, time.monotonic() - started_s
 
 
-@then("a caller that leaves while its request is worked on is noticed within {most_ms:d} ms")
-def leaves(context: Context, most_ms: int) -> None:
-    is_noticed, after_s = _watched(leave=True, send=b"", work_s=1.0)
+@then("a caller that disconnects while its request is processed is noticed within {max_ms:d} ms")
+def disconnects(context: Context, max_ms: int) -> None:
+    is_noticed, after_s = _watch_caller(leave=True, send=b"", processing_s=1.0)
     assert is_noticed
-    assert after_s < most_ms / 1000.0, after_s
+    assert after_s < max_ms / 1000.0, after_s
 
 
-@then("one that sends its next request meanwhile is not")
+@then("a caller that sends its next request early is not")
 def pipelines(context: Context) -> None:
-    began_s = time.process_time()
-    is_noticed, _ = _watched(leave=False, send=b"GET", work_s=0.1)
+    started_s = time.process_time()
+    is_noticed, _ = _watch_caller(leave=False, send=b"GET", processing_s=0.1)
     assert not is_noticed
-    assert time.process_time() - began_s < 0.02
+    assert time.process_time() - started_s < 0.02
 
 
-@then("nobody is told of a caller that leaves behind its answer")
-def leaves_behind(context: Context) -> None:
+@then("no listener is left for a caller that leaves after its response")
+def leaves_after_response(context: Context) -> None:
     near, far = socket.socketpair()
     watch = CallerWatch(near)
     watch.start()
--- a/features/steps/server_entry_steps.py
+++ b/features/steps/server_entry_steps.py
@@ -1,4 +1,4 @@
-"""Steps about entries of the list of servers that another writer made."""
+"""Steps about invalid entries in the list of servers."""
 
 import json
 import os
@@ -21,7 +21,7 @@
     entry_data,
     expected_names,
     follow,
-    sound_spec,
+    valid_spec,
 )
 from features.support.platform_scripts import world
 from features.support.schedules import derandomized
@@ -36,25 +36,25 @@
 from yarrowwall.policy.servers import ServerDirectory
 from yarrowwall.ports.object_store import Change, StoredObject
 
-NEVER = PlacementRequest((), "", "")
+NO_PREFERENCE = PlacementRequest((), "", "")
 
 
 def _quiet_log(noted: list[Decision]) -> DecisionLog:
-    """Return a log whose lines go nowhere."""
+    """Return a log that writes to /dev/null and collects its decisions."""
     descriptor = os.open(os.devnull, os.O_WRONLY)
     return DecisionLog("edge-0", noted.append, descriptor)
 
 
 def item(name: str, spec: Any) -> StoredObject:
-    """Return an entry as the store's client hands it on."""
+    """Return an entry as the store's client returns it."""
     return read_object(read_json(entry_data(name, spec)))
 
 
 def spec_at(port: int) -> dict[str, Any]:
-    return sound_spec() | {"address": f"127.0.0.1:{port}"}
+    return valid_spec() | {"address": f"127.0.0.1:{port}"}
 
 
-def _begin(context: Context, *items: StoredObject) -> None:
+def _create_servers(context: Context, *items: StoredObject) -> None:
     context.noted = []
     context.services = {"records": Service("records", None)}
     context.directory = ServerDirectory("a")
@@ -70,36 +70,36 @@
 
 @given('a list of servers that has "{one}" and "{other}"')
 def list_of_two(context: Context, one: str, other: str) -> None:
-    _begin(context, item(one, spec_at(11)), item(other, spec_at(12)))
+    _create_servers(context, item(one, spec_at(11)), item(other, spec_at(12)))
 
 
-@given('a list of servers that has "{one}" and "{other}", the latter of a service to come')
+@given('a list of servers that has "{one}" and "{other}", the latter of an unconfigured service')
 def list_with_early(context: Context, one: str, other: str) -> None:
     early = spec_at(12) | {"service": "later"}
-    _begin(context, item(one, spec_at(11)), item(other, early))
+    _create_servers(context, item(one, spec_at(11)), item(other, early))
 
 
 @given('a list of servers that has "{one}" and "{other}", both at one address')
 def list_with_doubled(context: Context, one: str, other: str) -> None:
-    _begin(context, item(one, spec_at(11)))
+    _create_servers(context, item(one, spec_at(11)))
     for _ in range(2):
         context.servers.apply_change(Change(item(other, spec_at(11)), False))
 
 
 @given("a list of servers that is empty")
 def empty_list(context: Context) -> None:
-    _begin(context)
+    _create_servers(context)
 
 
-@when('a list comes that has "{name}"')
+@when('a list arrives that has "{name}"')
 def list_comes(context: Context, name: str) -> None:
     context.servers.apply_list([item(name, spec_at(11))])
 
 
-@then('"{name}" was told of as listed, once')
-def told_as_listed(context: Context, name: str) -> None:
-    reported = [line for line in context.noted if isinstance(line, decisions.ServerChanged)]
-    assert reported == [decisions.ServerChanged(name, "records", "listed")], reported
+@then('"{name}" was logged once as listed')
+def logged_as_listed(context: Context, name: str) -> None:
+    logged = [line for line in context.noted if isinstance(line, decisions.ServerChanged)]
+    assert logged == [decisions.ServerChanged(name, "records", "listed")], logged
 
 
 @when('the entry of "{name}" is written with {field} as {value}')
@@ -119,7 +119,7 @@
 
 
 @when('the entry of "{name}" is written as a server would')
-def entry_sound(context: Context, name: str) -> None:
+def entry_valid(context: Context, name: str) -> None:
     context.servers.apply_change(Change(item(name, spec_at(12)), False))
 
 
@@ -128,7 +128,7 @@
 
 
 @then('"{good}" is listed and "{bad}" is not')
-def one_listed(context: Context, good: str, bad: str) -> None:
+def only_one_listed(context: Context, good: str, bad: str) -> None:
     assert _listed(context.directory) == {good}, _listed(context.directory)
 
 
@@ -137,8 +137,8 @@
     assert _listed(context.directory) == {one, other}, _listed(context.directory)
 
 
-@then('"{name}" was told of once as "{fault}"')
-def told_once(context: Context, name: str, fault: str) -> None:
+@then('"{name}" was logged once as "{fault}"')
+def logged_once(context: Context, name: str, fault: str) -> None:
     refused = [line for line in context.noted if isinstance(line, decisions.EntryRefused)]
     found = Counter((line.server, line.fault) for line in refused)
     assert found == {(name, fault): 1}, found
@@ -147,7 +147,7 @@
 @then('"{name}" is chosen once a configuration has its service')
 def chosen_later(context: Context, name: str) -> None:
     context.services = {**context.services, "later": Service("later", None)}
-    choice = ServerChooser(context.directory).choose("later", (), NOW_S, NEVER)
+    choice = ServerChooser(context.directory).choose("later", (), NOW_S, NO_PREFERENCE)
     assert choice is not None
     assert choice.server.server_id == name
 
@@ -156,7 +156,7 @@
 
 
 def check_drawn(listed: list[DrawnEntry], batches: list[list[DrawnEvent]]) -> None:
-    """Follow drawn lists and batches; check which servers are in use."""
+    """Apply drawn lists and batches of changes; check which servers are in use."""
     noted: list[Decision] = []
     log = _quiet_log(noted)
     try:
@@ -188,7 +188,7 @@
 
 
 def _skip_known_bad(self: ServerList, change: Change) -> None:
-    if change.item.name not in {reported.name for reported in self._faults}:
+    if change.item.name not in {logged.name for logged in self._faults}:
         _apply_change(self, change)
 
 
@@ -199,8 +199,8 @@
 }
 
 
-@given("a reader of entries of which {mutant}")
-def mutant_reader(context: Context, mutant: str) -> None:
+@given("a server list in which {mutant}")
+def mutant_server_list(context: Context, mutant: str) -> None:
     context.mutant = MUTANTS[mutant]
 
 
@@ -218,8 +218,8 @@
 # Whole machines
 
 
-@when("another writer spoils {count:d} entries of the list in turn")
-def spoil_entries(context: Context, count: int) -> None:
+@when("another program writes {count:d} invalid entries to the list")
+def write_invalid_entries(context: Context, count: int) -> None:
     specs: list[Any] = [None, "\udcff", [1], {"service": 7}, {"slots": -1, "state": "?"}]
     for number in range(count):
         world(context).store.put("servers", f"x-{number % 7}", specs[number % len(specs)])
--- a/features/steps/silent_steps.py
+++ b/features/steps/silent_steps.py
@@ -1,4 +1,4 @@
-"""Steps about connections that say nothing more although nobody reset them."""
+"""Steps about connections that fall silent without a reset."""
 
 import socket
 import time
@@ -19,8 +19,8 @@
 
 ANSWER = StatusReply("storage-0", "disk", 1, True, 1)
 TIMEOUT_S = 0.15
-#: More than the time-out, less than a connection may be silent.
-LATE_S = 0.3
+#: Longer than the timeout, shorter than the silence after which a connection is replaced.
+LATE_ANSWER_S = 0.3
 
 
 @given("a link to a replica through a proxy")
@@ -56,7 +56,7 @@
     context.proxy.silence_open()
 
 
-@then("questions are answered again within {limit:f} s")
+@then("requests are answered again within {limit:f} s")
 def answered_again(context: Context, limit: float) -> None:
     end = time.monotonic() + limit
     while not is_answered(context):
@@ -66,12 +66,12 @@
     context.proxy.close()
 
 
-@when("some answers come after their time-out")
+@when("some answers arrive after their timeout")
 def late_answers(context: Context) -> None:
-    context.delay_s = LATE_S
+    context.delay_s = LATE_ANSWER_S
     for _ in range(8):
         assert not is_answered(context)
-        eventlet.sleep(LATE_S)
+        eventlet.sleep(LATE_ANSWER_S)
     context.delay_s = 0.0
     assert is_answered(context)
 
@@ -97,9 +97,9 @@
 
 @when('the operators replace the key "{old}" of "{name}" by "{new}" without waiting')
 def replace_without_waiting(context: Context, old: str, name: str, new: str) -> None:
-    for one in world(context).tenants:
-        if one["name"] == name:
-            one["api_keys"] = [new if key == old else key for key in one["api_keys"]]
+    for tenant in world(context).tenants:
+        if tenant["name"] == name:
+            tenant["api_keys"] = [new if key == old else key for key in tenant["api_keys"]]
     for proxy in world(context).store_proxies.values():
         proxy.silence_open()
     context.version = world(context).publish()
@@ -133,7 +133,7 @@
 
 
 @given("a link to a replica that never answers")
-def link_to_silent(context: Context) -> None:
+def link_without_answers(context: Context) -> None:
     listener = eventlet.listen(("127.0.0.1", 0))
     eventlet.spawn_n(
         serve_requests, listener, lambda request, reply: None, DecisionLog("storage-0")
@@ -152,8 +152,8 @@
     eventlet.sleep(0.1)
 
 
-@then("eventlet's hub listens no more to its connection")
-def listens_no_more(context: Context) -> None:
+@then("eventlet's hub has no listener for its connection")
+def no_listener(context: Context) -> None:
     assert context.number not in eventlet.hubs.get_hub().listeners["read"]
 
 
@@ -188,7 +188,7 @@
 
 
 def _count_answered(address: str, count: int) -> int:
-    """Send requests one behind the other; return how many were answered before a failure."""
+    """Send requests one after another; return how many were answered before a failure."""
     host, _, port = address.partition(":")
     with socket.create_connection((host, int(port)), timeout=10.0) as connection:
         for number in range(count):
--- a/features/steps/slow_reader_steps.py
+++ b/features/steps/slow_reader_steps.py
@@ -1,4 +1,4 @@
-"""Steps about callers and servers that read slowly, and what a gateway holds for them."""
+"""Steps about callers and servers that read slowly, and the memory used for them."""
 
 import os
 import random
@@ -38,7 +38,7 @@
 
 KILOBYTE = 1024
 
-# The budget
+# The memory budget
 
 
 @given("the memory bounds of a machine with {memory:d} MB")
@@ -85,21 +85,21 @@
     return True
 
 
-@then("a caller may hold {most:d} bytes and not {more:d}")
-def caller_bound(context: Context, most: int, more: int) -> None:
+@then("a caller may hold {limit:d} bytes and not {more:d}")
+def caller_bound(context: Context, limit: int, more: int) -> None:
     hold = context.budget.open_request()
-    assert _fits(hold, most)
-    assert not _fits(hold, more - most)
+    assert _fits(hold, limit)
+    assert not _fits(hold, more - limit)
     hold.close()
     assert context.budget.held == 0
 
 
-@then("{count:d} callers may hold {most:d} bytes of one server and not {more:d}")
-def server_bound(context: Context, count: int, most: int, more: int) -> None:
+@then("{count:d} callers may hold {limit:d} bytes of one server and not {more:d}")
+def server_bound(context: Context, count: int, limit: int, more: int) -> None:
     holds = [context.budget.open_request() for _ in range(count)]
-    assert all(_fits(hold, most // count, "e1") for hold in holds)
-    assert not _fits(holds[0], more - most, "e1")
-    assert _fits(holds[0], more - most, "e2")
+    assert all(_fits(hold, limit // count, "e1") for hold in holds)
+    assert not _fits(holds[0], more - limit, "e1")
+    assert _fits(holds[0], more - limit, "e2")
 
 
 _STEPS = st.lists(
@@ -108,7 +108,7 @@
 
 
 def check_budget(steps: list[tuple[int, int, str]]) -> None:
-    """Let requests hold and release; compare the sums with a count of their own."""
+    """Let requests grow and end; compare the budget's sums with an independent count."""
     budget = MemoryBudget(MemoryBounds(1_000, 400, 500))
     holds: dict[int, RequestMemory] = {}
     taken: dict[int, list[tuple[int, str]]] = {}
@@ -228,7 +228,7 @@
     add(context, route, "streaming", run, timeout_ms=20_000)
 
 
-def _caller(
+def _send_head(
     context: Context,
     route: str,
     body: int,
@@ -238,8 +238,8 @@
 ) -> socket.socket:
     """Return a connection over which the head of a request was sent.
 
-    :param buffer: bytes that the caller's own kernel takes; next to none, so that what is not
-        read stays with the gateway.
+    :param buffer: receive buffer of the caller's kernel; small, so that unread bytes stay at
+        the gateway.
     """
     host, _, port = world(context).addresses[f"edge-{gateway}"]["http"].partition(":")
     connection = socket.socket()
@@ -258,7 +258,7 @@
 @when('a caller of "{route}" reads nothing')
 def reads_nothing(context: Context, route: str) -> None:
     context.began_at = time.monotonic()
-    _caller(context, route, 0, 20_000)
+    _send_head(context, route, 0, 20_000)
 
 
 @then('the server of "{route}" sees the end of that run within {limit:d} s')
@@ -267,8 +267,8 @@
     assert context.run_ended_at[0] - context.began_at < limit
 
 
-@then("the gateway told of one caller given up")
-def told_of_given_up(context: Context) -> None:
+@then("the gateway logged one caller as given up")
+def logged_given_up(context: Context) -> None:
     def given_up() -> int:
         lines = world(context).log("edge-0")
         return sum(line["kind"] == "CallerGivenUp" for line in lines)
@@ -280,8 +280,8 @@
     'a caller of "{route}" sends 1 byte of its body every {pause:d} ms '
     "with a deadline of {limit:d} ms"
 )
-def trickles(context: Context, route: str, pause: int, limit: int) -> None:
-    connection = _caller(context, route, 1_000, limit)
+def sends_slowly(context: Context, route: str, pause: int, limit: int) -> None:
+    connection = _send_head(context, route, 1_000, limit)
     connection.settimeout(pause / 1000.0)
     began = time.monotonic()
     while time.monotonic() - began < 8.0:
@@ -303,7 +303,7 @@
 
 @when('a caller of "{route}" reads {size:d} KB every {pause:d} ms')
 def reads_steadily(context: Context, route: str, size: int, pause: int) -> None:
-    connection = _caller(context, route, 0, 20_000)
+    connection = _send_head(context, route, 0, 20_000)
     found = bytearray()
     while not found.endswith(b"0\r\n\r\n"):
         piece = connection.recv(size * KILOBYTE)
@@ -332,7 +332,7 @@
 def stop_sending(context: Context, count: int, route: str, sent: int, size: int) -> None:
     context.stopped = []
     for _ in range(count):
-        connection = _caller(context, route, size * KILOBYTE, 20_000)
+        connection = _send_head(context, route, size * KILOBYTE, 20_000)
         try:
             connection.sendall(b"x" * sent * KILOBYTE)
         except OSError:
@@ -367,33 +367,33 @@
 # Many callers
 
 
-#: Gateways whose callers stop reading, and whose callers read.
-_STOPPED, _READ = 0, 1
-#: Callers that come one behind the other before ordinary ones are timed.
+#: The gateway whose callers stop reading, and the one whose callers read.
+_STOPPED, _READING = 0, 1
+#: Callers that connect one after another before ordinary ones are timed.
 _CALLERS_AT_ONCE = 5
-#: Rounds of callers that stop reading for one of callers that read: they are to come as quickly
-#: as without it, since the gateway gives each of them up after 2 s.
-_ROUNDS_FOR_ONE = 5
-#: What a caller's own kernel takes of an answer that it reads: more than any of them is long.
+#: Rounds of callers that stop reading per round of callers that read. Most rounds skip the
+#: latter, to start callers quickly: the gateway disconnects each of them after 2 s.
+_STOPPED_ROUNDS_PER_READ = 5
+#: Receive buffer of callers that read: larger than any answer.
 _READER_BUFFER_BYTES = 1024 * KILOBYTE
 
 
 def _ordinary_s(context: Context, route: str, gateway: int) -> float:
-    """Return the seconds that an ordinary caller takes."""
+    """Return the response time of an ordinary caller, in seconds."""
     answer = world(context).ask(route, b"payload", gateway=gateway)
     assert answer.status == 200, answer
     return answer.seconds
 
 
 def _memory_mb(context: Context) -> float:
-    """Return the most memory that the gateway's process has had."""
+    """Return the peak memory of the gateway's process, in MB."""
     status = Path(f"/proc/{world(context).processes['edge-0'].pid}/status").read_text()
     line = next(line for line in status.splitlines() if line.startswith("VmHWM"))
     return int(line.split()[1]) / KILOBYTE
 
 
 def _kernel_mb() -> float:
-    """Return what the kernel holds of all connections of this machine."""
+    """Return the kernel memory of all TCP connections of this machine, in MB."""
     line = next(
         line
         for line in Path("/proc/net/sockstat").read_text().splitlines()
@@ -406,25 +406,25 @@
 def ordinary_answered(context: Context, count: int, route: str) -> None:
     for _ in range(count):
         _ordinary_s(context, route, _STOPPED)
-        _ordinary_s(context, route, _READ)
-    context.usual_mb = _memory_mb(context)
-    context.usual_kernel_mb = _kernel_mb()
+        _ordinary_s(context, route, _READING)
+    context.initial_mb = _memory_mb(context)
+    context.initial_kernel_mb = _kernel_mb()
 
 
 def _stop_reading(context: Context, route: str, rng: random.Random) -> None:
-    """Let some callers come that read up to a random point at most."""
+    """Start callers of which the last reads up to a random point, the others nothing."""
     wanted = 0
     for _ in range(_CALLERS_AT_ONCE):
-        connection = _caller(context, route, 0, 20_000, _STOPPED)
+        connection = _send_head(context, route, 0, 20_000, _STOPPED)
         wanted = rng.randrange(200 * KILOBYTE)
-    # The first bytes are there at once or never.
+    # The first bytes arrive at once or never.
     assert connection.recv(wanted + 1)
 
 
 def _read(context: Context, route: str) -> None:
-    """Let as many callers come that take their whole answer."""
+    """Start as many callers whose kernel buffers hold the whole answer."""
     for _ in range(_CALLERS_AT_ONCE):
-        connection = _caller(context, route, 0, 20_000, _READ, _READER_BUFFER_BYTES)
+        connection = _send_head(context, route, 0, 20_000, _READING, _READER_BUFFER_BYTES)
     assert connection.recv(1)
 
 
@@ -435,46 +435,46 @@
 )
 def stop_reading(context: Context, count: int, route: str, other: str, ordinary: str) -> None:
     rng = random.Random(37)
-    context.behind_s = {_STOPPED: [], _READ: []}
-    context.beside_s = {_STOPPED: [], _READ: []}
+    context.right_after_s = {_STOPPED: [], _READING: []}
+    context.one_later_s = {_STOPPED: [], _READING: []}
     for number in range(count // _CALLERS_AT_ONCE):
         _stop_reading(context, route, rng)
-        context.behind_s[_STOPPED].append(_ordinary_s(context, ordinary, _STOPPED))
-        if number % _ROUNDS_FOR_ONE == 0:
-            context.beside_s[_STOPPED].append(_ordinary_s(context, ordinary, _STOPPED))
+        context.right_after_s[_STOPPED].append(_ordinary_s(context, ordinary, _STOPPED))
+        if number % _STOPPED_ROUNDS_PER_READ == 0:
+            context.one_later_s[_STOPPED].append(_ordinary_s(context, ordinary, _STOPPED))
             _read(context, other)
-            context.behind_s[_READ].append(_ordinary_s(context, ordinary, _READ))
-            context.beside_s[_READ].append(_ordinary_s(context, ordinary, _READ))
-    grown_mb = _kernel_mb() - context.usual_kernel_mb
+            context.right_after_s[_READING].append(_ordinary_s(context, ordinary, _READING))
+            context.one_later_s[_READING].append(_ordinary_s(context, ordinary, _READING))
+    grown_mb = _kernel_mb() - context.initial_kernel_mb
     print(f"the kernel holds {grown_mb:.0f} MB more for connections of this machine")
 
 
 def _check_median(where: str, found_s: dict[int, list[float]], more_ms: int) -> None:
-    """Compare ordinary callers of both gateways at the same time: a busy machine slows both."""
-    stopped_s, read_s = (statistics.median(found_s[gateway]) for gateway in (_STOPPED, _READ))
+    """Compare both gateways' response times, since a busy machine slows both."""
+    stopped_s, read_s = (statistics.median(found_s[gateway]) for gateway in (_STOPPED, _READING))
     print(f"median {where}: {stopped_s * 1000:.1f} ms; {read_s * 1000:.1f} ms at the other gateway")
     assert stopped_s < read_s + more_ms / 1000.0, (where, stopped_s, read_s)
 
 
-@then("right behind them ordinary callers take at most {more:d} ms more than at the other gateway")
-def right_behind(context: Context, more: int) -> None:
-    _check_median("right behind", context.behind_s, more)
+@then("right after them ordinary callers take at most {more:d} ms more than at the other gateway")
+def right_after(context: Context, more: int) -> None:
+    _check_median("right after", context.right_after_s, more)
 
 
-@then("beside them ordinary callers take at most {more:d} ms more than at the other gateway")
-def beside(context: Context, more: int) -> None:
-    _check_median("beside", context.beside_s, more)
+@then("one request later ordinary callers take at most {more:d} ms more than at the other gateway")
+def one_later(context: Context, more: int) -> None:
+    _check_median("one request later", context.one_later_s, more)
 
 
-@then("the gateway's memory has grown by less than {most:d} MB")
-def memory_grown(context: Context, most: int) -> None:
+@then("the gateway's memory has grown by less than {limit:d} MB")
+def memory_grown(context: Context, limit: int) -> None:
     found_mb = _memory_mb(context)
-    print(f"peak memory {context.usual_mb:.1f} MB before, {found_mb:.1f} MB beside them")
-    assert found_mb - context.usual_mb < most, (found_mb, context.usual_mb)
+    print(f"peak memory {context.initial_mb:.1f} MB before, {found_mb:.1f} MB with them")
+    assert found_mb - context.initial_mb < limit, (found_mb, context.initial_mb)
 
 
 def _given_up(context: Context) -> int:
-    """Return how many callers the gateway has counted as given up."""
+    """Return the gateway's metric of disconnected callers."""
     url = f"http://{world(context).addresses['edge-0']['metrics']}/metrics"
     with urlopen(url, timeout=5.0) as answer:
         lines = answer.read().decode().splitlines()
@@ -486,7 +486,7 @@
 def gives_up(context: Context, count: int, limit: int) -> None:
     end = time.monotonic() + limit
     while time.monotonic() < end:
-        # Lines of one kind above a rate are left out, but counted here.
+        # Log lines above a rate are omitted, but the metric counts all.
         given_up = _given_up(context)
         if given_up == count:
             return
--- a/features/steps/start_steps.py
+++ b/features/steps/start_steps.py
@@ -1,4 +1,4 @@
-"""Steps about starts, late answers and the programs that failed."""
+"""Steps about process starts, late answers and reports of failed programs."""
 
 import json
 import socket
@@ -25,7 +25,7 @@
 from yarrowwall.policy.latency import RetryBudget
 from yarrowwall.ports.object_store import ObjectStoreError
 
-#: Seconds for which a silent server holds a request.
+#: Seconds for which a silent server keeps a request's connection open.
 SILENT_SECONDS = 4.0
 
 
@@ -35,13 +35,13 @@
     context.listeners = EarlyListeners([context.address, context.unused])
 
 
-@when("a caller sends something before anybody takes the socket")
+@when("a caller sends data before the socket is taken")
 def early_caller(context: Context) -> None:
     context.caller = socket.create_connection(split_address(context.address), timeout=2.0)
     context.caller.sendall(b"hello")
 
 
-@then("whoever takes it gets what was sent")
+@then("the data can be received once the socket is taken")
 def early_taken(context: Context) -> None:
     listener = context.listeners.take(context.address)
     connection, _ = listener.accept()
@@ -50,7 +50,7 @@
         used.close()
 
 
-@then("a socket that nobody took is closed at the end")
+@then("a socket that was not taken is closed at the end")
 def early_closed(context: Context) -> None:
     context.listeners.close()
     try:
@@ -70,11 +70,11 @@
     world(context).store.lists_to_lose = count
 
 
-@given("a store that takes no connections")
-def full_queue(context: Context) -> None:
+@given("a store that accepts no connections")
+def full_backlog(context: Context) -> None:
     listener = socket.create_server(("127.0.0.1", 0), backlog=0)
     address = listener.getsockname()
-    # The kernel keeps one connection more than asked for; all others hang.
+    # The kernel's backlog holds one connection more than requested; all others hang.
     waiting = [socket.socket() for _ in range(3)]
     for one in waiting:
         one.setblocking(False)
@@ -93,7 +93,7 @@
     assert context.failed_after_s * 1000.0 <= limit, context.failed_after_s
 
 
-@then("watching its objects for {wait_s:d} s fails after at most {limit:d} ms")
+@then("a watch of its objects for {wait_s:d} s fails after at most {limit:d} ms")
 def watch_fails(context: Context, wait_s: int, limit: int) -> None:
     seconds = fails_after_s(lambda: context.store.watch("config", 1, float(wait_s)))
     assert seconds * 1000.0 <= limit, seconds
@@ -102,17 +102,17 @@
 
 
 def fails_after_s(call: Callable[[], object]) -> float:
-    began = time.monotonic()
+    started = time.monotonic()
     try:
         call()
     except ObjectStoreError:
-        return time.monotonic() - began
+        return time.monotonic() - started
     raise AssertionError("the store answered")
 
 
 @when("the store loses all watches that wait or begin within {seconds:d} s")
 def watches_lost(context: Context, seconds: int) -> None:
-    # Longer than the pause between two watches of a kind that changed: all of them wait.
+    # Longer than the pause between two watches of a changed kind: now every watch is waiting.
     time.sleep(0.6)
     world(context).store.lose_watches(float(seconds))
 
@@ -124,29 +124,29 @@
 
 @then("gateway {number:d} knows it within {limit:d} s")
 def knows_added(context: Context, number: int, limit: int) -> None:
-    began = time.monotonic()
+    started = time.monotonic()
 
     def is_known() -> bool:
         lines = world(context).log(f"edge-{number}")
         return any(line.get("server") == context.added.server_id for line in lines)
 
     wait_until(is_known, "the server is known")
-    assert time.monotonic() - began < limit
+    assert time.monotonic() - started < limit
 
 
 @when("a configuration is written and the store cuts its watches while it drops its history")
 def dropping_history(context: Context) -> None:
     store = world(context).store
-    # The watch that followed the last change is waiting by now.
+    # By now the watch after the last change is waiting.
     time.sleep(0.2)
-    # Watches that are cut and begun anew while the history goes.
+    # Watches are ended, and restart while the history is dropped.
     store.drop_history_slowly(0.5)
     context.version = world(context).publish()
 
 
 @then("the configuration is in force at gateway {number:d} within {limit:d} s")
 def in_force_within(context: Context, number: int, limit: int) -> None:
-    began = time.monotonic()
+    started = time.monotonic()
 
     def is_in_force() -> bool:
         lines = world(context).log(f"edge-{number}")
@@ -154,7 +154,7 @@
         return versions[-1] >= context.version
 
     wait_until(is_in_force, "the configuration is in force")
-    assert time.monotonic() - began < limit
+    assert time.monotonic() - started < limit
 
 
 @when("gateway {number:d} is killed and starts again")
@@ -163,7 +163,7 @@
     world(context).start_machine(f"edge-{number}", is_gateway=True)
 
 
-@when('a client sends "{text}" on "{route}" as soon as the port is open')
+@when('a client sends "{text}" on "{route}" as soon as its port is open')
 def ask_when_open(context: Context, text: str, route: str) -> None:
     address = split_address(world(context).addresses["edge-0"]["http"])
 
@@ -175,7 +175,7 @@
         return True
 
     wait_until(is_open, "the port is open")
-    # The handler's first line is written once all is imported; what counts is from then on.
+    # The first log line is written once the process has loaded; time is counted from then on.
     known = len(world(context).log("edge-0"))
     context.answers = [world(context).ask(route, text.encode())]
     context.answer = context.answers[0]
@@ -186,7 +186,7 @@
 
 @then("gateway {number:d} has its configuration less than {limit:f} s after its first line")
 def configured_soon(context: Context, number: int, limit: float) -> None:
-    """Compare lines of its log: how long a busy machine takes to load it does not count."""
+    """Compare times of log lines, so that a slow start on a busy machine does not count."""
 
     def since_start_s() -> float | None:
         lines = world(context).log(f"edge-{number}")
@@ -200,7 +200,7 @@
 
 
 @given('a route "{route}" of type "{kind}" with two servers of which one may fall silent')
-def may_fall_silent(context: Context, route: str, kind: str) -> None:
+def one_may_fall_silent(context: Context, route: str, kind: str) -> None:
     context.silent_id = None
 
     def script(call: QuietHandler, arrival: Arrival) -> bool:
@@ -232,9 +232,9 @@
 
 @given(
     'a route "{route}" of type "{kind}" with two servers'
-    " of which the first closes without an answer and the other turns it away"
+    " of which the first closes without an answer and the other refuses it as not run"
 )
-def closes_then_turns_away(context: Context, route: str, kind: str) -> None:
+def closes_then_refuses(context: Context, route: str, kind: str) -> None:
     def script(call: QuietHandler, arrival: Arrival) -> bool:
         is_second = len(arrivals(context, route)) > 1
         return full(call, arrival) if is_second else silent(call, arrival)
@@ -266,22 +266,22 @@
     assert all(answer.headers.get("Connection") == "close" for answer in answers)
 
 
-@given("a budget for second sendings of a service")
+@given("a retry budget of a service")
 def retry_budget(context: Context) -> None:
     context.budget = RetryBudget()
 
 
-@when("{count:d} requests are late and none is answered")
+@when("{count:d} requests time out")
 def all_late(context: Context, count: int) -> None:
-    context.sent_again = 0
+    context.retried = 0
     for _ in range(count):
         context.budget.deposit("records")
-        context.sent_again += context.budget.try_withdraw("records")
+        context.retried += context.budget.try_withdraw("records")
 
 
-@then("at most {most:d} of them are sent again")
-def at_most_again(context: Context, most: int) -> None:
-    assert 0 < context.sent_again <= most, context.sent_again
+@then("at most {most:d} of them are retried")
+def at_most_retried(context: Context, most: int) -> None:
+    assert 0 < context.retried <= most, context.retried
 
 
 def line(time_s: float, kind: str, **fields: object) -> dict[str, object]:
@@ -315,7 +315,7 @@
 
 
 def printed_rows(context: Context, command: Command, *options: str) -> list[dict[str, object]]:
-    """Return what a command prints of the scenario's log."""
+    """Return the rows that a command prints for the scenario's log."""
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "edge-0.log"
         path.write_text("".join(json.dumps(one) + "\n" for one in context.log))
@@ -378,12 +378,12 @@
 @given("the log of a program of 2 s whose turns waited 1.5 s for their first events")
 def late_log(context: Context) -> None:
     context.log = []
-    for number, begun_s in enumerate((1.0, 2.2)):
+    for number, started_s in enumerate((1.0, 2.2)):
         attempt = {"attempt": f"a{number}", "program": "p1", "route": "r", "route_kind": "stream"}
-        told = {"tenant": "alloy", "finish_in": 2.0 - (begun_s - 1.0)}
-        context.log.append(line(begun_s, "AttemptAdmitted", **attempt, **told))
+        fields = {"tenant": "alloy", "finish_in": 2.0 - (started_s - 1.0)}
+        context.log.append(line(started_s, "AttemptAdmitted", **attempt, **fields))
         answered = {"attempt": f"a{number}", "status": 200, "first_seconds": 0.75}
-        context.log.append(line(begun_s + 1.2, "AttemptAnswered", **answered))
+        context.log.append(line(started_s + 1.2, "AttemptAnswered", **answered))
 
 
 @then('the late programs name it with {late_s:f} s, most of it spent on "{what}"')
--- a/features/steps/whole_path_steps.py
+++ b/features/steps/whole_path_steps.py
@@ -1,4 +1,4 @@
-"""Steps about callers and operators of a running system."""
+"""Steps of callers and operators of a running system."""
 
 import subprocess
 import sys
--- a/features/support/drawn_entries.py
+++ b/features/support/drawn_entries.py
@@ -1,4 +1,4 @@
-"""Entries of servers as they lie in the store, sound ones and others, and a store of them."""
+"""Hypothesis strategies for valid and invalid server entries, and a scripted store of them."""
 
 import contextlib
 import json
@@ -17,15 +17,16 @@
 from yarrowwall.watching.follower import KindFollower
 
 NOW_S = 1_700_000_000.0
-#: Answers of the store after which a follower has had all that it needs.
-MOST_ANSWERS = 12
+#: Maximum number of answers of the scripted store.
+MAX_ANSWERS = 12
 
 
 class DrawnEntry(NamedTuple):
-    """An entry as the store would send it.
+    """An entry as the store sends it.
 
-    :param name: the server's; empty for an entry without a name that can be read.
-    :param data: its bytes.
+    :param name: the server's id; empty if the entry has no readable name.
+    :param is_good: whether the entry describes a usable server.
+    :param data: the entry's bytes.
     """
 
     name: str
@@ -40,8 +41,8 @@
     is_gone: bool
 
 
-def sound_spec() -> dict[str, Any]:
-    """Return what a server writes about itself."""
+def valid_spec() -> dict[str, Any]:
+    """Return the content of a valid entry."""
     return {
         "service": "records",
         "address": "127.0.0.1:9",
@@ -70,26 +71,26 @@
 _NAMES = st.sampled_from(("s-1", "s-2", "s-3", "s-4"))
 _REQUIRED = st.sampled_from(("service", "address", "zone", "slots", "state"))
 _GOOD = st.builds(
-    lambda name: DrawnEntry(name, True, entry_data(name, sound_spec())),
+    lambda name: DrawnEntry(name, True, entry_data(name, valid_spec())),
     _NAMES,
 )
 
 
 def _without(name: str, field: str) -> DrawnEntry:
-    spec = sound_spec()
+    spec = valid_spec()
     del spec[field]
     return DrawnEntry(name, False, entry_data(name, spec))
 
 
 def _with_other_type(name: str, field: str, value: Any) -> DrawnEntry:
-    return DrawnEntry(name, False, entry_data(name, sound_spec() | {field: value}))
+    return DrawnEntry(name, False, entry_data(name, valid_spec() | {field: value}))
 
 
 _NOT_TEXT = _VALUES.filter(lambda value: not isinstance(value, str))
-_NOT_WHOLE = _VALUES.filter(lambda value: type(value) is not int)
-_NO_MAPPING = _VALUES.filter(lambda value: not isinstance(value, dict))
-#: Bytes inside an entry that are no text, and a number too long to be read.
-_SPOILED = (
+_NOT_INTEGER = _VALUES.filter(lambda value: type(value) is not int)
+_NOT_MAPPING = _VALUES.filter(lambda value: not isinstance(value, dict))
+#: Entries with invalid UTF-8, numbers that are too long, or unusable names.
+_UNREADABLE = (
     b'{"meta":{"name":"s-1","revision":5},"spec":{"service":"\xff\xfe\x00"}}',
     b'{"meta":{"name":"s-2","revision":5},"spec":{"slots":' + b"9" * 5_000 + b"}}",
     b'{"meta":{"name":"s-3","revision":' + b"9" * 5_000 + b'},"spec":"\xc3\x28"}',
@@ -99,21 +100,21 @@
 _BAD = st.one_of(
     st.builds(_without, _NAMES, _REQUIRED),
     st.builds(_with_other_type, _NAMES, st.sampled_from(("service", "address", "zone")), _NOT_TEXT),
-    st.builds(_with_other_type, _NAMES, st.sampled_from(("slots", "born", "seq")), _NOT_WHOLE),
+    st.builds(_with_other_type, _NAMES, st.sampled_from(("slots", "born", "seq")), _NOT_INTEGER),
     st.builds(_with_other_type, _NAMES, st.just("slots"), st.integers(max_value=0)),
     st.builds(_with_other_type, _NAMES, st.just("born"), st.integers(min_value=10**14)),
     st.builds(_with_other_type, _NAMES, st.just("state"), st.text(max_size=5)),
     st.builds(lambda name, spec: DrawnEntry(name, False, entry_data(name, spec)), _NAMES, _VALUES),
     _VALUES.map(lambda value: DrawnEntry("", False, json.dumps(value).encode())),
-    _NO_MAPPING.map(lambda value: DrawnEntry("", False, json.dumps({"meta": value}).encode())),
-    st.sampled_from(_SPOILED).map(
+    _NOT_MAPPING.map(lambda value: DrawnEntry("", False, json.dumps({"meta": value}).encode())),
+    st.sampled_from(_UNREADABLE).map(
         lambda data: DrawnEntry(
             next((name for name in ("s-1", "s-2", "s-3") if name.encode() in data), ""), False, data
         )
     ),
 )
 ENTRIES = _GOOD | _BAD
-#: A list in which each server has one sound entry at most.
+#: A list in which each server has at most one valid entry.
 LISTS = st.lists(ENTRIES, max_size=8, unique_by=lambda entry: (entry.name, entry.data))
 EVENTS = st.lists(
     st.builds(DrawnEvent, ENTRIES, st.booleans() | st.just(False)), min_size=1, max_size=5
@@ -121,14 +122,14 @@
 BATCHES = st.lists(EVENTS, max_size=4)
 
 
-class OverError(BaseException):
-    """The store has told all that it had to."""
+class EndOfAnswersError(BaseException):
+    """The scripted store has sent all of its answers."""
 
 
 class ScriptedStore:
-    """A store that answers a list, then batches of changes, over connections of its own.
+    """A store that answers a list, then batches of changes.
 
-    :ivar listed: the entries that a list holds now.
+    :ivar listed: the current entries.
     """
 
     def __init__(self, listed: list[DrawnEntry], batches: list[list[DrawnEvent]]) -> None:
@@ -139,13 +140,13 @@
     def answer(self, target: str) -> bytes:
         """Return the body of one answer."""
         self._answers += 1
-        if self._answers > MOST_ANSWERS:
-            raise OverError
+        if self._answers > MAX_ANSWERS:
+            raise EndOfAnswersError
         if "watch=" not in target:
             items = b",".join(entry.data for entry in self.listed)
             return b'{"items":[' + items + b'],"more":false,"at":10}'
         if not self._batches:
-            raise OverError
+            raise EndOfAnswersError
         batch = self._batches.pop(0)
         for event in batch:
             self.listed = [one for one in self.listed if one.name != event.entry.name]
@@ -159,7 +160,7 @@
 
 
 class _ScriptedConnection:
-    """A connection over which a scripted store answers."""
+    """A connection to a scripted store."""
 
     store: ScriptedStore
     is_reusable = False
@@ -168,11 +169,11 @@
         self._target = ""
 
     def has_no_pending_input(self) -> bool:
-        """Return whether nothing arrived."""
+        """Return True."""
         return True
 
     def send(self, data: bytes, timeout: float) -> None:
-        """Take a question."""
+        """Note the target of a request."""
         self._target = data.decode().split(" ")[1]
 
     def read_head(self, timeout: float) -> ResponseHead:
@@ -184,14 +185,14 @@
         return self.store.answer(self._target)
 
     def finish_response(self) -> None:
-        """Leave the answer."""
+        """Do nothing."""
 
     def close(self) -> None:
         """Close the connection."""
 
 
 def follow(store: ScriptedStore, log: DecisionLog) -> ServerDirectory:
-    """Return the servers that a gateway knows once the store has told all."""
+    """Return the servers that a gateway knows after all answers of the store."""
     directory = ServerDirectory("a")
     documents = PlatformDocuments(lambda: NOW_S)
     servers = ServerList(documents, directory, dict, log, lambda: NOW_S)
@@ -204,13 +205,13 @@
         follower = KindFollower(
             PlatformStore("127.0.0.1:1"), "servers", servers.apply_list, servers.apply_change, log
         )
-        with contextlib.suppress(OverError):
+        with contextlib.suppress(EndOfAnswersError):
             follower._run()
     return directory
 
 
 def expected_names(listed: list[DrawnEntry], batches: list[list[DrawnEvent]]) -> set[str]:
-    """Return the servers that are to be in use at the end."""
+    """Return the names of the servers that must be in use at the end."""
     names = {entry.name for entry in listed if entry.is_good}
     for event in (event for batch in batches for event in batch):
         names.discard(event.entry.name)
--- a/features/support/platform_scripts.py
+++ b/features/support/platform_scripts.py
@@ -1,4 +1,4 @@
-"""What steps about machines share: routes with servers, and servers that misbehave."""
+"""Helpers of steps about machines: routes with servers, and scripts of faulty servers."""
 
 import socket
 import struct
@@ -24,7 +24,7 @@
 
 
 def publish(context: Context) -> None:
-    """Publish the configuration and wait until every gateway has it and knows all servers."""
+    """Publish the configuration; wait until every gateway has it and all servers."""
     version = world(context).publish()
     servers = set(world(context).servers)
     for name in world(context).processes:
@@ -43,13 +43,13 @@
 
 
 def retire(context: Context, machine: str) -> None:
-    """Ask a storage machine to be emptied."""
+    """Request the retirement of a storage machine."""
     context.retired = machine
     world(context).store.put(RETIREMENTS, machine, {"period_s": 10})
 
 
 def check_retired_within(context: Context, limit: float) -> None:
-    """Wait until the machine is emptied; fail if that takes longer than so many seconds."""
+    """Wait until the machine is retired; fail if that takes longer than ``limit`` seconds."""
     started = time.monotonic()
 
     def is_complete() -> bool:
@@ -60,7 +60,7 @@
     assert time.monotonic() - started < limit
 
 
-# Servers that misbehave
+# Scripts of faulty servers
 
 
 def full(call: QuietHandler, arrival: Arrival) -> bool:
--- a/features/support/platform_world.py
+++ b/features/support/platform_world.py
@@ -1,7 +1,7 @@
-"""A platform of stand-ins on loopback: store of objects, servers, and machines as processes.
+"""Stand-ins for the platform on loopback: object store, servers, and machines as processes.
 
-Everything outside the processes under test runs in threads of the test process, so that
-tests can look at what reached whom. The names are the platform's own.
+Everything except the processes under test runs in threads of the test process, so that tests can
+inspect which requests arrived where. The names are the platform's.
 """
 
 import http.client
@@ -28,12 +28,12 @@
 ROOT = Path(__file__).parent.parent.parent
 MAJOR = 3
 ANSWER_SECONDS = 10.0
-#: Stands for an answer that never comes, and the seconds until its connection ends.
+#: Pseudo-status of an answer that is never sent; its connection ends after ``LOST_SECONDS``.
 LOST = 0
-#: Stands for a connection that ends at once without an answer.
+#: Pseudo-status of a connection that is closed at once without an answer.
 CUT = 1
 LOST_SECONDS = 40.0
-#: Lines of each machine's log that are shown when a scenario has failed.
+#: Number of lines of each machine's log that are shown when a scenario has failed.
 SHOWN_LINES = 40
 
 
@@ -51,7 +51,7 @@
         return self.rfile.read(int(self.headers.get("Content-Length") or 0))
 
     def answer(self, status: int, body: bytes, headers: dict[str, str] | None = None) -> None:
-        """Send a whole answer."""
+        """Send a complete answer."""
         self.send_response(status)
         for name, value in (headers or {}).items():
             self.send_header(name, value)
@@ -61,22 +61,22 @@
 
 
 class StandInServer(ThreadingHTTPServer):
-    """A server whose queue of new connections holds more than a test opens at once.
+    """A server whose backlog holds more connections than a test opens at once.
 
-    The library's holds five; the kernel drops the opening packet of a sixth, and it is sent again
-    only after a second.
+    The library's default backlog is five; the kernel drops the SYN packet of a sixth connection,
+    which is resent only after a second.
     """
 
     request_queue_size = 128
 
     def handle_error(self, request: Any, client_address: Any) -> None:
-        """Print a fault; a peer that is gone is none, since tests end many."""
+        """Print an error unless the peer has disconnected, which tests often do."""
         if not isinstance(sys.exception(), ConnectionError):
             super().handle_error(request, client_address)
 
 
 def serve(handler: type[BaseHTTPRequestHandler], address: str = "127.0.0.1:0") -> Any:
-    """Serve a handler class from a thread of its own."""
+    """Serve a handler class in a new thread; return the server."""
     host, _, port = address.partition(":")
     server = StandInServer((host, int(port)), handler)
     server.daemon_threads = True
@@ -99,11 +99,11 @@
         self.history: list[tuple[int, str, dict[str, Any], bool]] = []
         self.oldest = 0
         self.is_down = False
-        #: Whether questions for a single object get no answer; watches and lists do.
+        #: Whether reads of a single object get no answer; watches and lists do.
         self.loses_gets = False
-        #: Seconds that every answer to a list takes.
+        #: Delay in seconds of every answer to a list.
         self.list_delay_s = 0.0
-        #: Lists that get no answer at all, neither now nor later.
+        #: Number of further lists that never get an answer.
         self.lists_to_lose = 0
         self._silent_until = 0.0
         self._outages = 0
@@ -122,44 +122,44 @@
         self._handler = Handler
         self.server = serve(Handler)
         self.address = address_of(self.server)
-        #: Servers of the same objects by the machine that they answer.
+        #: HTTP servers of this store that each serve a single machine, by machine.
         self._own_servers: dict[str, Any] = {}
         self._turned_away: set[str] = set()
-        #: Watches that wait, by machine and kind.
+        #: Number of waiting watches, by machine and kind.
         self.watching: Counter[tuple[str, str]] = Counter()
 
     def address_for(self, machine: str) -> str:
-        """Return an address at which one machine alone reaches the store."""
+        """Return the store's address for one machine."""
         if machine not in self._own_servers:
             self._own_servers[machine] = serve(self._handler)
         return address_of(self._own_servers[machine])
 
     def turn_away(self, machine: str) -> None:
-        """Answer one machine nothing more; its watches end."""
+        """Stop answering a machine, and end its watches."""
         with self.lock:
             self._turned_away.add(machine)
             self.lock.notify_all()
 
     def take_back(self) -> None:
-        """Answer every machine again."""
+        """Answer all machines again."""
         with self.lock:
             self._turned_away.clear()
 
     def stop(self) -> None:
-        """Serve no more."""
+        """Stop serving."""
         for server in (self.server, *self._own_servers.values()):
             server.shutdown()
             server.server_close()
 
     def _machine(self, call: QuietHandler) -> str:
-        """Return the machine that a call comes from; empty if it is not known."""
+        """Return the machine that made a call; empty if unknown."""
         for machine, server in self._own_servers.items():
             if server is call.server:
                 return machine
         return ""
 
     def put(self, kind: str, name: str, spec: dict[str, Any]) -> None:
-        """Write an object as the operators or servers do."""
+        """Write an object, as operators or servers do."""
         with self.lock:
             self._change(kind, name, spec, None)
 
@@ -174,21 +174,21 @@
             return self.objects.get((kind, name))
 
     def lose_watches(self, seconds: float) -> None:
-        """Answer no watch that waits now or begins within some seconds, ever."""
+        """Never answer the watches that wait now or start within some seconds."""
         with self.lock:
             self._outages += 1
             self._silent_until = time.monotonic() + seconds
             self.lock.notify_all()
 
     def drop_history_slowly(self, seconds: float) -> None:
-        """Cut every watch; those that begin within some seconds hear nothing, then it is gone."""
+        """End every watch; those that start within some seconds get no changes, then a 410."""
         with self.lock:
             self._cuts += 1
             self._deaf_until = time.monotonic() + seconds
             self.lock.notify_all()
 
     def forget_history(self) -> None:
-        """Let every running watch learn that its history is gone."""
+        """Drop the history; every running watch gets a 410."""
         with self.lock:
             self.history.clear()
             self.oldest = self.revision
@@ -320,7 +320,7 @@
 
 @dataclass
 class Arrival:
-    """One request as a server got it."""
+    """One request that a server received."""
 
     attempt_id: str
     path: str
@@ -330,10 +330,11 @@
 
 @dataclass
 class Server:
-    """A server that answers as a script tells.
+    """A server that answers by a script.
 
-    :param script: called for each request with the handler and the arrival; returns
-        whether it answered.
+    :param script: called for each request with the handler and the arrival; returns whether it
+        sent an answer.
+    :param start_ms: Unix time of its start, as listed; None to list none.
     """
 
     server_id: str
@@ -343,7 +344,7 @@
     start_ms: int | None = None
 
     def start(self) -> str:
-        """Begin to serve; return the address."""
+        """Start serving; return the address."""
         server = self
 
         class Handler(QuietHandler):
@@ -358,7 +359,7 @@
         return address_of(self.listener)
 
     def handle(self, call: QuietHandler) -> None:
-        """Answer one request as the script tells; a seal, an echo and a body without one."""
+        """Answer one request by the script, or else with the standard headers and a body."""
         headers = dict(call.headers.items())
         arrival = Arrival(headers.get("X-Attempt-Id", ""), call.path, call.body(), headers)
         if headers.get("X-Expect-Instance") != self.server_id:
@@ -370,7 +371,7 @@
 
 
 def own_headers(arrival: Arrival) -> dict[str, str]:
-    """Return the headers of every server's answer."""
+    """Return the standard headers of servers' answers: the attempt's id and a seal."""
     return {"X-Attempt-Id": arrival.attempt_id, "X-Server-Seal": "seal." + arrival.attempt_id}
 
 
@@ -398,7 +399,7 @@
 def stream(
     call: QuietHandler, arrival: Arrival, events: range, pause: float = 0.0, is_whole: bool = True
 ) -> bool:
-    """Answer with a stream of events, cut off behind them if it is not whole."""
+    """Answer with a stream of events, which breaks off within an event if it is not whole."""
     begin_stream(call, arrival)
     for number in events:
         send_chunk(call, event(number))
@@ -415,7 +416,7 @@
 
 @dataclass
 class Answer:
-    """What a client got."""
+    """The response that a client received."""
 
     status: int
     headers: dict[str, str]
@@ -427,19 +428,21 @@
 class PlatformWorld:
     """Stand-ins and machines.
 
-    :cvar machines_lost_at_once: what the deployment has to bear; None for the usual.
-    :param gateways: how many machines take clients.
-    :param zones: over which machines of each kind are spread in turn.
+    :cvar machines_lost_at_once: machine losses that the deployment must tolerate; None for the
+        default.
+    :param gateways: number of gateways.
+    :param replicas: number of storage machines.
+    :param zones: zones that the machines of each kind are assigned to in turn.
     """
 
-    #: Seconds that a machine has to end behind SIGTERM.
+    #: Seconds that a machine may take to end after SIGTERM.
     stop_s = 6.0
     machines_lost_at_once: int | None = None
 
     def __init__(
         self, gateways: int = 2, replicas: int = 3, zones: Sequence[str] = ("zone-a",)
     ) -> None:
-        #: Zones by the number of a machine, in turn; a machine has its own from its next start on.
+        #: Zones of the machines, in turn by number; a change applies at a machine's next start.
         self.zones = zones
         self._folder = tempfile.TemporaryDirectory()
         self.folder = Path(self._folder.name)
@@ -453,7 +456,7 @@
         self.processes: dict[str, subprocess.Popen] = {}
         self.addresses: dict[str, dict[str, str]] = {}
         self._attempts = 0
-        #: Memory of the machines that are started from now on, in MB; None for the usual.
+        #: Memory in MB of machines that are started from now on; None for the default.
         self.memory_mb: int | None = None
         for number in range(replicas):
             self.start_machine(f"storage-{number}", is_gateway=False, is_first=True)
@@ -469,7 +472,7 @@
     # The operators
 
     def add_route(self, name: str, kind: str, **fields: Any) -> None:
-        """Add a route of a kind whose service has its name."""
+        """Add a route of a kind, with a service of the same name."""
         route = {
             "name": name,
             "host": HOST,
@@ -523,16 +526,16 @@
         self.store.put("servers", server.server_id, {**spec, "state": state, "seq": 1})
 
     def list_again(self, server: Server, service: str) -> None:
-        """Let a server tell of itself as before."""
+        """Write a server's entry again, unchanged."""
         self._list(server, service, address_of(server.listener), "ready")
 
     def list_reborn(self, server: Server, service: str, start_ms: int) -> None:
-        """Let a server tell that it started again, at the address that it had."""
+        """Write a server's entry as after a restart at the same address."""
         server.start_ms = start_ms
         self.list_again(server, service)
 
     def drain(self, server: Server, service: str) -> None:
-        """Let a server tell that it leaves."""
+        """Write a server's entry as draining."""
         self._list(server, service, address_of(server.listener), "draining")
 
     # Machines
@@ -540,9 +543,9 @@
     def start_machine(
         self, name: str, is_gateway: bool, is_first: bool = False, output: int | None = None
     ) -> None:
-        """Start a machine's process; its settings are the same at every start.
+        """Start a machine's process; it keeps its addresses over restarts.
 
-        :param output: where its log goes instead of its file.
+        :param output: descriptor for its log instead of the log file.
         """
         if name not in self.addresses:
             keys = ("http", "readiness", "peer", "metrics")
@@ -563,7 +566,7 @@
         return [sys.executable, "-m", "yarrowwall.platform"]
 
     def store_address(self, name: str) -> str:
-        """Return the address under which a machine reaches the store."""
+        """Return the store's address in a machine's settings."""
         return self.store.address_for(name)
 
     def zone_of(self, name: str) -> str:
@@ -616,7 +619,7 @@
         return [json.loads(line) for line in lines if line.startswith("{")]
 
     def ends_of_logs(self) -> str:
-        """Return the last lines that each machine wrote, and whether it still runs."""
+        """Return the last log lines of each machine, and its exit code if it has ended."""
         found: list[str] = []
         for name, process in sorted(self.processes.items()):
             lines = (self.folder / f"{name}.log").read_text(errors="replace").splitlines()
@@ -633,7 +636,7 @@
         )
 
     def is_ready(self, name: str) -> bool:
-        """Return whether a gateway says that it is ready."""
+        """Return whether a gateway reports that it is ready."""
         host, _, port = self.addresses[name]["readiness"].partition(":")
         connection = http.client.HTTPConnection(host, int(port), timeout=2.0)
         try:
@@ -664,7 +667,7 @@
         connection: http.client.HTTPConnection | None = None,
         **headers: str,
     ) -> Answer:
-        """Send a request as a client and return what came."""
+        """Send a request as a client and return the response."""
         own = connection is None
         used = connection or self.connect(gateway)
         sent = {"Host": HOST, "X-Attempt-Id": self.next_attempt(), "X-Deadline-Ms": "3000"}
@@ -677,7 +680,7 @@
         return answer
 
     def stop(self) -> None:
-        """End everything."""
+        """Stop all processes and stand-ins."""
         for process in self.processes.values():
             if process.poll() is None:
                 process.kill()
@@ -691,12 +694,12 @@
 
 
 def read_answer(connection: http.client.HTTPConnection, started: float) -> Answer:
-    """Return the answer that comes on a connection, whole or not."""
+    """Return the response on a connection, complete or not."""
     return read_rest(connection.getresponse(), started)
 
 
 def read_rest(response: http.client.HTTPResponse, started: float) -> Answer:
-    """Return an answer of which a part may have been read, with the rest as its body."""
+    """Return a response that may have been read in part, with the rest as its body."""
     body = bytearray()
     is_whole = True
     try:
--- a/features/support/proxied_world.py
+++ b/features/support/proxied_world.py
@@ -1,11 +1,11 @@
-"""The platform of stand-ins with proxies before the store and all servers."""
+"""The platform's stand-ins with proxies in front of the store and all servers."""
 
 from features.soak.proxy import Proxy
 from features.support.platform_world import PlatformWorld
 
 
 class ProxiedWorld(PlatformWorld):
-    """Stand-ins and machines, between which connections can be made to fall silent."""
+    """Stand-ins and machines, with connections that can be made to fall silent."""
 
     def __init__(self) -> None:
         self.store_proxies: dict[str, Proxy] = {}
@@ -13,7 +13,7 @@
         super().__init__()
 
     def store_address(self, name: str) -> str:
-        """Return the address under which a machine reaches the store."""
+        """Return the store's address in a machine's settings."""
         if name not in self.store_proxies:
             direct = self.store.address_for(name)
             self.store_proxies[name] = Proxy(lambda: direct)
@@ -26,7 +26,7 @@
         return self.server_proxies[server_id].address
 
     def stop(self) -> None:
-        """End everything."""
+        """Stop all processes, stand-ins and proxies."""
         super().stop()
         for proxy in [*self.store_proxies.values(), *self.server_proxies.values()]:
             proxy.close()
--- a/features/whole_path.feature
+++ b/features/whole_path.feature
@@ -1,7 +1,7 @@
 @shared_system
-Feature: The whole path as separate processes
+Feature: Calls and operators' plans across separate processes
   A program's calls enter at any gateway, are journalled by their owner and run
-  on an engine; operators' plans come into force on every node.
+  on an engine; operators' plans take effect on every node.
 
   Scenario: Chained calls through different gateways share one history
     Given a program opened at node 0
@@ -12,7 +12,7 @@
     And each call was started once on the engines
     And the second prompt contained the first call and its answer
 
-  Scenario: The official client runs a program unchanged, streamed and whole
+  Scenario: The official client runs a program unchanged, streamed and not streamed
     Given a program opened at node 0
     When the openai client makes call 1 as a stream at node 1
     And the openai client makes call 2 as a whole at node 2
@@ -26,7 +26,7 @@
     When a lookup of "grade" "EN-GJS-500-7" is made at node 1
     Then the lookup is answered with that record
 
-  Scenario: A confirmed plan is in force on every node
+  Scenario: A confirmed plan takes effect on every node
     Given intents that give the desk "sourcing" a budget of 90000 tokens
     When the operator applies them at node 0 and confirms the plan at node 2
     Then the budget is in force on every node
--- a/yarrowwall/dispatch/sender.py
+++ b/yarrowwall/dispatch/sender.py
@@ -94,13 +94,13 @@
             components.latencies,
             components.retries,
         )
-        self.log = self.rules.history
+        self.history = self.rules.history
         self.current: OpenAnswer | None = None
 
     @property
     def last_server(self) -> str:
         """Return the incarnation that got the attempt last, or the previous turn if none did."""
-        if self._last_incarnation is None or not self.log.sent:
+        if self._last_incarnation is None or not self.history.sent:
             return self._plan.last_server
         return self._last_incarnation.text
 
@@ -159,7 +159,7 @@
 
     def _limit_refusal(self, refused: RefusedError) -> RefusedError:
         """Return the final refusal of an attempt that got no permit for a (further) send."""
-        if self.log.may_have_run:
+        if self.history.may_have_run:
             # A refusal by the limit would claim that the request has not run.
             return self.refused(refused.refusal.reason)
         return refused
@@ -171,11 +171,11 @@
             affinity = attempt.program.program_id
         request = PlacementRequest(attempt.prompt, affinity, plan.last_server)
         now = self._components.now()
-        return self._components.chooser.choose(plan.service, self.log.tried, now, request)
+        return self._components.chooser.choose(plan.service, self.history.tried, now, request)
 
     def _send(self, choice: Choice, last_event_id: str | None) -> OpenAnswer:
         server = choice.server
-        self.log.tried.append(server.server_id)
+        self.history.tried.append(server.server_id)
         self._last_incarnation = server.incarnation
         connection = self._connect(server)
         try:
@@ -183,12 +183,12 @@
         except RefusedError:
             self._components.pool.release(server, connection)
             raise
-        self.log.sent += 1
+        self.history.sent += 1
         rank = turn_rank(self._attempt, self._components.now())
         send = Send(server, self._plan.body, self.left_s(), rank, last_event_id)
         self._log_sent(choice, send)
         sent_at = self._components.now()
-        if self.log.sent == 1:
+        if self.history.sent == 1:
             self._components.retries.deposit(self._plan.service)
         self._take_slot(server)
         try:
@@ -204,12 +204,12 @@
         try:
             return self._components.pool.acquire(server, must_be_new=self._saw_timeout)
         except ConnectError:
-            self.log.unreached += 1
+            self.history.unreached += 1
             raise
 
     def _exchange(self, connection: ServerConnection, send: Send) -> Answer:
-        may_have_run_before = self.log.may_have_run
-        self.log.may_have_run = True
+        may_have_run_before = self.history.may_have_run
+        self.history.may_have_run = True
         connection.send(self._components.protocol.request_bytes(self._attempt, send), self.left_s())
         for _ in range(MAX_FOREIGN_ANSWERS):
             head = self._wait_for_head(connection, send.server.incarnation)
@@ -222,7 +222,7 @@
             raise MalformedAnswerError("only answers to other requests")
         if answer.was_not_run:
             # This says nothing about servers that got the request earlier.
-            self.log.may_have_run = may_have_run_before
+            self.history.may_have_run = may_have_run_before
         elif answer.status < 300 and not answer.is_signed:
             raise MalformedAnswerError("a success without the server's signature")
         connection.keep_alive = answer.keep_alive
@@ -258,7 +258,7 @@
                 choice.candidates,
                 choice.load,
                 send.priority,
-                self.log.sent,
+                self.history.sent,
                 send.last_event_id,
             )
         )
@@ -270,7 +270,7 @@
         if isinstance(error, AnswerTimeoutError):
             self._saw_timeout = True
             self._components.pool.close_idle(server.incarnation)
-        self._log_send_failed(server, str(error), self.log.may_have_run)
+        self._log_send_failed(server, str(error), self.history.may_have_run)
 
     def _log_send_failed(self, server: Server, reason: str, may_have_run: bool) -> None:
         self._components.decisions.write(
--- a/yarrowwall/gateway/exchange.py
+++ b/yarrowwall/gateway/exchange.py
@@ -185,7 +185,7 @@
             )
             sender = AttemptSender(self._components.dispatch, plan)
             answer, body = relay_buffered(self._components.dispatch, route, sender)
-            return self._response.start_buffered(answer, body, sender.log.tried[-1])
+            return self._response.start_buffered(answer, body, sender.history.tried[-1])
         finally:
             allowance.close()
 
--- a/yarrowwall/gateway/turn.py
+++ b/yarrowwall/gateway/turn.py
@@ -109,7 +109,9 @@
             grant.complete(relay.relayed, sender.last_server)
             if not relay.relayed:
                 self._response.start_stream(opened.answer)
-            self._response.note_answered(HTTPStatus.OK, sender.log.tried[-1], len(relay.relayed))
+            self._response.note_answered(
+                HTTPStatus.OK, sender.history.tried[-1], len(relay.relayed)
+            )
         except (StreamBrokenError, StoreUncertainError) as error:
             self._components.dispatch.decisions.write(
                 decisions.AnswerBrokenOff(self._attempt.attempt_id, str(error), len(relay.relayed))
@@ -186,4 +188,4 @@
                 sender.note_failure(opened.send.server, error)
             raise sender.refused(str(error)) from error
         sender.finish_answer()
-        return self._response.start_buffered(answer, body, sender.log.tried[-1])
+        return self._response.start_buffered(answer, body, sender.history.tried[-1])
