--- a/features/environment.py
+++ b/features/environment.py
@@ -49,5 +49,5 @@
         context.own_system.stop()
     if context.platform is not None:
         if scenario.status.has_failed():
-            print(context.platform.ends_of_logs())
+            print(context.platform.log_tails())
         context.platform.stop()
--- a/features/soak/faults.py
+++ b/features/soak/faults.py
@@ -227,7 +227,7 @@
             proxy.mode = Mode.REFUSE
             time.sleep(self._rng.uniform(0.0, 0.2))
             proxy.mode = Mode.PASS
-            self._world.list_reborn(*self._service_of(server_id), int(time.time() * 1000))
+            self._world.list_restarted(*self._service_of(server_id), int(time.time() * 1000))
 
     def _told_late(self) -> None:
         """Tell of an earlier incarnation of a server, as a list that is old does."""
@@ -236,10 +236,10 @@
                 return
             server, service = self._service_of(server_id)
             newest = server.start_ms or int(time.time() * 1000)
-            self._world.list_reborn(server, service, newest)
-            self._world.list_reborn(server, service, newest - 60_000)
+            self._world.list_restarted(server, service, newest)
+            self._world.list_restarted(server, service, newest - 60_000)
             self._pause()
-            self._world.list_reborn(server, service, newest)
+            self._world.list_restarted(server, service, newest)
 
     def _spoiled(self) -> None:
         """Let another writer spoil entries, one of them a server's own for a while."""
--- a/features/steps/connection_end_steps.py
+++ b/features/steps/connection_end_steps.py
@@ -261,7 +261,7 @@
 
 @then("the request is active")
 def request_active(context: Context) -> None:
-    assert context.gateway.running == 1
+    assert context.gateway.active_count == 1
 
 
 @when("the WSGI server has written the last bytes")
@@ -271,7 +271,7 @@
 
 @then("the request is not active")
 def request_not_active(context: Context) -> None:
-    assert context.gateway.running == 0
+    assert context.gateway.active_count == 0
 
 
 # Responses
--- a/features/steps/server_life_steps.py
+++ b/features/steps/server_life_steps.py
@@ -416,7 +416,7 @@
         deadline = time.monotonic() + 2.0
         while not context.mute.arrivals and time.monotonic() < deadline:
             time.sleep(0.01)
-        world(context).list_reborn(context.mute, route, start_ms)
+        world(context).list_restarted(context.mute, route, start_ms)
 
     reborn = Thread(target=be_reborn, daemon=True)
     reborn.start()
--- a/features/steps/zone_group_steps.py
+++ b/features/steps/zone_group_steps.py
@@ -412,7 +412,7 @@
 
 @when('the store takes all back and the storage machines of "{zone}" start again')
 def heal(context: Context, zone: str) -> None:
-    world(context).store.take_back()
+    world(context).store.answer_all()
     for name in _storage_of(context, zone):
         world(context).start_machine(name, is_gateway=False)
 
--- a/features/support/platform_world.py
+++ b/features/support/platform_world.py
@@ -140,7 +140,7 @@
             self._turned_away.add(machine)
             self.lock.notify_all()
 
-    def take_back(self) -> None:
+    def answer_all(self) -> None:
         """Answer all machines again."""
         with self.lock:
             self._turned_away.clear()
@@ -529,7 +529,7 @@
         """Write a server's entry again, unchanged."""
         self._list(server, service, address_of(server.listener), "ready")
 
-    def list_reborn(self, server: Server, service: str, start_ms: int) -> None:
+    def list_restarted(self, server: Server, service: str, start_ms: int) -> None:
         """Write a server's entry as after a restart at the same address."""
         server.start_ms = start_ms
         self.list_again(server, service)
@@ -618,7 +618,7 @@
         lines = (self.folder / f"{name}.log").read_text().splitlines()
         return [json.loads(line) for line in lines if line.startswith("{")]
 
-    def ends_of_logs(self) -> str:
+    def log_tails(self) -> str:
         """Return the last log lines of each machine, and its exit code if it has ended."""
         found: list[str] = []
         for name, process in sorted(self.processes.items()):
--- a/yarrowwall/gateway/state.py
+++ b/yarrowwall/gateway/state.py
@@ -79,8 +79,8 @@
         while the configuration is too old to accept keys. Callers keep using a connection until
         it is closed.
         """
-        is_able = self.components.programs.is_reachable and self.serves_keys
-        return self.is_stopping or not is_able
+        can_serve = self.components.programs.is_reachable and self.serves_keys
+        return self.is_stopping or not can_serve
 
     @property
     def configuration_age_s(self) -> float:
@@ -105,7 +105,7 @@
         self._refuses_from = now + STOP_GRACE_SECONDS
 
     @property
-    def running(self) -> int:
+    def active_count(self) -> int:
         """Return the number of active requests."""
         return len(self.active_requests)
 
@@ -116,8 +116,8 @@
 
     def has_time_for(self, now: float, end: float) -> bool:
         """Return whether a request that may last until ``end`` is accepted."""
-        is_welcome = self._stops_at is None or now < self._refuses_from
-        return is_welcome or end <= (self._stops_at or end)
+        accepts_all = self._stops_at is None or now < self._refuses_from
+        return accepts_all or end <= (self._stops_at or end)
 
     def apply_configuration(self, configuration: Configuration) -> bool:
         """Apply a configuration if it is newer than the current one; return whether it is."""
--- a/yarrowwall/machine/gateway_role.py
+++ b/yarrowwall/machine/gateway_role.py
@@ -156,7 +156,7 @@
         last = begun + self._settings.bounds.stop - STOP_MARGIN_SECONDS
         self.gateway.stop(begun, last)
         while time.monotonic() < last:
-            is_busy = self.gateway.running or self._ledger.has_unsettled
+            is_busy = self.gateway.active_count or self._ledger.has_unsettled
             if time.monotonic() > begun + LEAST_STOP_SECONDS and not is_busy:
                 return
             eventlet.sleep(0.05)
