--- a/yarrowwall/dispatch/connection.py
+++ b/yarrowwall/dispatch/connection.py
@@ -147,7 +147,9 @@
         response.chunks.clear()
         return data
 
-    def read_all(self, timeout: float, hold: Callable[[int], None] = lambda size: None) -> bytes:
+    def read_all(
+        self, timeout: float, count_bytes: Callable[[int], None] = lambda size: None
+    ) -> bytes:
         """Return the rest of the body.
 
         :param hold: called with the size of each piece that is buffered.
@@ -157,7 +159,7 @@
         """
         pieces = []
         while data := self.read_some(timeout):
-            hold(len(data))
+            count_bytes(len(data))
             pieces.append(data)
         return b"".join(pieces)
 
--- a/yarrowwall/dispatch/pool.py
+++ b/yarrowwall/dispatch/pool.py
@@ -46,12 +46,12 @@
         :param must_be_new: whether not to reuse an idle connection.
         :raises ConnectError: if a new connection cannot be opened.
         """
-        kept = None if must_be_new else self._take_kept(server.incarnation)
+        kept = None if must_be_new else self._take_idle(server.incarnation)
         connection = kept if kept is not None else self._open(server)
         self._in_use[server.incarnation].add(connection)
         return connection
 
-    def _take_kept(self, incarnation: Incarnation) -> ServerConnection | None:
+    def _take_idle(self, incarnation: Incarnation) -> ServerConnection | None:
         idle = self._idle[incarnation]
         while idle:
             connection = idle.pop()
--- a/yarrowwall/dispatch/server_list.py
+++ b/yarrowwall/dispatch/server_list.py
@@ -25,7 +25,7 @@
 )
 
 
-class _ReportedFault(NamedTuple):
+class _LoggedFault(NamedTuple):
     """A fault of an entry that has been logged."""
 
     name: str
@@ -52,7 +52,7 @@
         self._services = services
         self._log = log
         self._now = now
-        self._faults: set[_ReportedFault] = set()
+        self._faults: set[_LoggedFault] = set()
         self._has_listed = False
 
     def apply_list(self, items: list[StoredObject]) -> None:
@@ -75,7 +75,7 @@
         """Apply the change of one entry."""
         item = change.item
         if change.is_gone:
-            self._faults -= {reported for reported in self._faults if reported.name == item.name}
+            self._faults -= {logged for logged in self._faults if logged.name == item.name}
             self._directory.remove(self._documents.server_incarnation(item), self._now())
             self._log.write(decisions.ServerChanged(item.name, "", "gone"))
             return
@@ -136,16 +136,16 @@
     def _clear_own_faults(self, name: str) -> None:
         """Forget an entry's own faults once it is valid, so that later ones are logged again."""
         self._faults -= {
-            reported
-            for reported in self._faults
-            if reported.name == name and reported.fault not in _EXTERNAL_FAULTS
+            logged
+            for logged in self._faults
+            if logged.name == name and logged.fault not in _EXTERNAL_FAULTS
         }
 
     def _note_fault(self, name: str, fault: EntryFault, detail: str) -> None:
-        reported = _ReportedFault(name, fault)
-        if reported in self._faults:
+        logged = _LoggedFault(name, fault)
+        if logged in self._faults:
             return
         if len(self._faults) >= MAX_LOGGED_FAULTS:
             self._faults.clear()
-        self._faults.add(reported)
+        self._faults.add(logged)
         self._log.write(decisions.EntryRefused(name[:80], fault.value, detail[:80]))
--- a/yarrowwall/gateway/caller_watch.py
+++ b/yarrowwall/gateway/caller_watch.py
@@ -72,8 +72,8 @@
             if self._peek():
                 return
         except OSError as error:
-            # The connection was reset, or its descriptor was closed after the response; then
-            # this is no longer active and nothing is raised.
+            # The connection was reset; or the descriptor was closed after the response, when
+            # this is no longer active and raises nothing.
             self._note_disconnected(str(error))
             return
         self._note_disconnected("half or full close")
--- a/yarrowwall/gateway/exchange.py
+++ b/yarrowwall/gateway/exchange.py
@@ -53,12 +53,12 @@
 
         The WSGI server calls this once, after the last write.
         """
-        held = self._request_memory.size
+        buffered_bytes = self._request_memory.size
         try:
             self._body.close()
         finally:
             self._gateway.active_requests.discard(self)
-            self._response.note_ended(held)
+            self._response.note_ended(buffered_bytes)
 
     def apply_routes(self, table: RouteTable) -> None:
         """Update the request's time limit from a new route table."""
@@ -98,7 +98,7 @@
         response = self._response
         if not response.is_end_logged:
             response.is_end_logged = True
-            left = decisions.CallerLeft(response.attempt_id, response.lasted_s, reason)
+            left = decisions.CallerLeft(response.attempt_id, response.elapsed_s, reason)
             self._log.write(left)
 
     def _answer(self, watch: CallerWatch) -> Iterator[bytes]:
@@ -151,7 +151,7 @@
             response.is_end_logged = True
             self._log.write(
                 decisions.CallerGivenUp(
-                    response.attempt_id, response.lasted_s, self._request_memory.size
+                    response.attempt_id, response.elapsed_s, self._request_memory.size
                 )
             )
             raise
--- a/yarrowwall/gateway/http_server.py
+++ b/yarrowwall/gateway/http_server.py
@@ -153,9 +153,9 @@
 
         def _log_unfinished_head(self, reason: ConnectionEndReason) -> None:
             if self._head_started_at is not None:
-                lasted_s = time.monotonic() - self._head_started_at
+                elapsed_s = time.monotonic() - self._head_started_at
                 self._head_started_at = None
-                log.write(decisions.ConnectionEnded("", reason, lasted_s, 0, ""))
+                log.write(decisions.ConnectionEnded("", reason, elapsed_s, 0, ""))
 
         def _read_request_line(self) -> bytes:
             self.connection.settimeout(limits.current.idle_seconds)
--- a/yarrowwall/gateway/response.py
+++ b/yarrowwall/gateway/response.py
@@ -52,14 +52,16 @@
         self.is_end_logged = False
 
     @property
-    def lasted_s(self) -> float:
+    def elapsed_s(self) -> float:
         """Return the seconds since the request arrived."""
         return self._now() - self.arrived_at
 
     def refuse(self, refusal: Refusal) -> bytes:
         """Start a response made by the gateway; return its body."""
         self._log.write(
-            decisions.AttemptRefused(self.attempt_id, refusal.status, refusal.reason, self.lasted_s)
+            decisions.AttemptRefused(
+                self.attempt_id, refusal.status, refusal.reason, self.elapsed_s
+            )
         )
         body = (refusal.reason + "\n").encode()
         headers = self._callers.refusal_headers(self.attempt_id, refusal)
@@ -77,7 +79,7 @@
 
     def start_stream(self, answer: Answer) -> None:
         """Start a streamed response; called once its first event or its end has arrived."""
-        self._first_event_s = self.lasted_s
+        self._first_event_s = self.elapsed_s
         self._start(HTTPStatus.OK, self._callers.answer_headers(answer))
         set_stream_write_timeout(self._environ)
 
@@ -90,11 +92,11 @@
         """Log that a server's complete answer was relayed."""
         self._log.write(
             decisions.AttemptAnswered(
-                self.attempt_id, status, server, self.lasted_s, events, self._first_event_s
+                self.attempt_id, status, server, self.elapsed_s, events, self._first_event_s
             )
         )
 
-    def note_ended(self, held: int) -> None:
+    def note_ended(self, buffered_bytes: int) -> None:
         """Log why the response is incomplete, unless it is complete or that was logged.
 
         :param held: bytes that were buffered for the request.
@@ -105,7 +107,7 @@
         self.is_end_logged = True
         if connection_end.reason is ConnectionEndReason.NOT_TAKEN:
             waited_s = self._now() - self._last_output_at
-            self._log.write(decisions.CallerGivenUp(self.attempt_id, waited_s, held))
+            self._log.write(decisions.CallerGivenUp(self.attempt_id, waited_s, buffered_bytes))
         else:
             self._log_connection_ended(connection_end)
 
@@ -119,7 +121,7 @@
             decisions.ConnectionEnded(
                 self.attempt_id,
                 connection_end.reason,
-                self.lasted_s,
+                self.elapsed_s,
                 self._events,
                 connection_end.detail,
             )
--- a/yarrowwall/platform/documents.py
+++ b/yarrowwall/platform/documents.py
@@ -108,7 +108,7 @@
     holders: dict[str, str] = {}
     for tenant in tenants:
         if tenant.name in seen_names:
-            raise ValueError(f"tenant {tenant.name!r} is there twice")
+            raise ValueError(f"tenant {tenant.name!r} is defined twice")
         seen_names.add(tenant.name)
         for key in tenant.api_keys:
             holder = holders.setdefault(key, tenant.name)
@@ -127,7 +127,7 @@
         float(spec.get("burst") or 0.0),
     )
     if not tenant.name:
-        raise ValueError("a tenant without a name")
+        raise ValueError("a tenant has no name")
     for limit in ("rate_per_s", "burst"):
         if getattr(tenant, limit) < 0.0:
             raise ValueError(f"tenant {tenant.name!r}: {limit} is negative")
--- a/yarrowwall/platform/store.py
+++ b/yarrowwall/platform/store.py
@@ -111,7 +111,12 @@
     def interrupt_watches(
         self, opened_before_s: float = float("inf"), kind: str | None = None
     ) -> None:
-        """End waiting watches, and close idle connections opened before ``opened_before_s``."""
+        """End waiting watches on connections opened before ``opened_before_s``.
+
+        Idle connections opened before that are closed, if a time is given.
+
+        :param kind: the kind of objects whose watch ends; None for all kinds.
+        """
         for channel, opened in list(self._watching.items()):
             if opened.opened_s < opened_before_s and kind in (
                 None,
@@ -183,8 +188,8 @@
         except RelayError as error:
             if connection is not None:
                 connection.close()
-            is_silent = isinstance(error, AnswerTimeoutError | ConnectTimeoutError)
-            failure = StoreTimeoutError if is_silent else ObjectStoreError
+            has_timed_out = isinstance(error, AnswerTimeoutError | ConnectTimeoutError)
+            failure = StoreTimeoutError if has_timed_out else ObjectStoreError
             raise failure(f"{method} {path}: {error}") from error
         except BaseException:
             if connection is not None:
@@ -214,9 +219,9 @@
     try:
         document = read_json(data) if data else {}
     except (RecursionError, ValueError) as error:
-        raise ObjectStoreError(f"{method} {path}: no JSON") from error
+        raise ObjectStoreError(f"{method} {path}: the answer is not JSON") from error
     if not isinstance(document, dict):
-        raise ObjectStoreError(f"{method} {path}: not an object")
+        raise ObjectStoreError(f"{method} {path}: the answer is not an object")
     return document
 
 
@@ -227,5 +232,5 @@
     """
     named = [item.name for item in page if item.name]
     if not named:
-        raise ObjectStoreError("a page of a list without a name that can be read")
+        raise ObjectStoreError("a page of a list has no readable name")
     return named[-1]
--- a/yarrowwall/ports/__init__.py
+++ b/yarrowwall/ports/__init__.py
@@ -1,4 +1,5 @@
-"""What the parts of a machine need from one another, as interfaces.
+"""Interfaces between the packages of a machine.
 
-A part that needs another one takes it as one of these, so that packages depend one way only.
+A package that uses another one depends on an interface here, so that dependencies have one
+direction only.
 """
