--- a/features/steps/server_life_steps.py
+++ b/features/steps/server_life_steps.py
@@ -420,7 +420,7 @@
         deadline = time.monotonic() + 2.0
         while not context.silent.arrivals and time.monotonic() < deadline:
             time.sleep(0.01)
-        world(context).list_reborn(context.silent, route, start_ms)
+        world(context).list_restarted(context.silent, route, start_ms)
 
     restarting = Thread(target=restart, daemon=True)
     restarting.start()
