--- a/features/steps/quota_proof_steps.py
+++ b/features/steps/quota_proof_steps.py
@@ -3,7 +3,7 @@
 from behave import given, then, when
 from behave.runner import Context
 
-from features.support.quota_model import END_S, LIMIT, TERMS, played
+from features.support.quota_model import END_S, LIMIT, RULES, played
 from features.support.quota_mutants import MUTANTS
 from yarrowwall.clocks import Clock
 from yarrowwall.messages.quotas import QuotaReply, QuotaStatus, ReturnQuota, TakeQuota, TenantLimit
@@ -37,7 +37,7 @@
 def schedules_use(context: Context, first: int, last: int) -> None:
     seeds = range(first, last + 1)
     arrived = sum(len(played(seed).arrived_s) for seed in seeds)
-    allowed = TERMS.most(LIMIT) * END_S / TERMS.window_s * len(seeds)
+    allowed = RULES.max_requests(LIMIT) * END_S / RULES.window_s * len(seeds)
     assert arrived > allowed / 2.0, (arrived, allowed)
 
 
@@ -57,7 +57,7 @@
 
 @then("it lends: {lends}")
 def it_lends(context: Context, lends: str) -> None:
-    assert context.lease.holds(context.confirmations, NOW_S) == (lends == "yes")
+    assert context.lease.is_held(context.confirmations, NOW_S) == (lends == "yes")
 
 
 def lender_of(context: Context, rate_per_s: float, burst: float) -> None:
@@ -183,7 +183,9 @@
 
 @when('at {at_s:f} s "{name}" does not answer')
 def one_silent(context: Context, at_s: float, name: str) -> None:
-    context.order.note_silent(next(one for one in context.issuers if one.node_id == name), at_s)
+    context.order.note_unavailable(
+        next(one for one in context.issuers if one.node_id == name), at_s
+    )
 
 
 @when("at {at_s:f} s none has room")
--- a/features/support/quota_model.py
+++ b/features/support/quota_model.py
@@ -35,7 +35,7 @@
 GATEWAYS = 6
 TENANT = "alloy"
 #: Three parts of five requests and two of six make up the whole limit, so one more breaks it.
-TERMS = QuotaRules(5.0, 0.1, 3.0)
+RULES = QuotaRules(5.0, 0.1, 3.0)
 LIMIT = TenantLimit(1, 4.0, 2.0)
 LOWERED = TenantLimit(2, 1.0, 1.0)
 #: Seconds between two questions of a gateway: many times what the limit allows.
@@ -178,8 +178,8 @@
         machine.incarnation += 1
         machine.is_up = True
         replica = _Replica(machine.disk_id)
-        lease = IssuerLease(machine.disk_id, TERMS.counted_s)
-        issuer = PermitIssuer(TERMS, LENDERS, lease.rank)
+        lease = IssuerLease(machine.disk_id, RULES.counted_s)
+        issuer = PermitIssuer(RULES, LENDERS, lease.rank)
         machine.peers = _Peers()
         machine.disk = ModelDisk(
             replica,
@@ -378,12 +378,12 @@
         arrived = sorted(self.arrived_s)
         first = 0
         for last, at_s in enumerate(arrived):
-            while arrived[first] < at_s - TERMS.window_s:
+            while arrived[first] < at_s - RULES.window_s:
                 first += 1
             # A lower limit holds one window after every gateway knows of it.
-            is_low = arrived[first] > self.lowered_at_s + 1.5 + TERMS.counted_s
+            is_low = arrived[first] > self.lowered_at_s + 1.5 + RULES.counted_s
             limit = LOWERED if is_low else LIMIT
-            worst = max(worst, last - first + 1 - TERMS.most(limit))
+            worst = max(worst, last - first + 1 - RULES.max_requests(limit))
         return worst
 
 
--- a/features/support/quota_mutants.py
+++ b/features/support/quota_mutants.py
@@ -27,14 +27,14 @@
 
 def _lend_at_once(self: IssuerLease, view: Any, now_s: float) -> None:
     _install_view(self, view, now_s)
-    if self._from_s is not None:
-        self._from_s = min(self._from_s, now_s)
+    if self._issue_from_s is not None:
+        self._issue_from_s = min(self._issue_from_s, now_s)
 
 
 def _need_no_vouchers(
     self: IssuerLease, confirmations: Mapping[str, Voucher], now_s: float
 ) -> bool:
-    return self._from_s is not None and now_s >= self._from_s
+    return self._issue_from_s is not None and now_s >= self._issue_from_s
 
 
 def _from_answer(world: World, asked_s: float) -> float:
@@ -46,11 +46,11 @@
 
 
 def _whole_limit(self: QuotaRules, limit: TenantLimit, issuers: int, rank: int) -> int:
-    return int(self.most(limit) / (issuers - 1))
+    return int(self.max_requests(limit) / (issuers - 1))
 
 
 def _new_rank_at_once(self: IssuerLease, tenant: str, now_s: float) -> int:
-    return self._place(self._view, tenant)
+    return self._rank_in(self._view, tenant)
 
 
 #: What each mutant replaces.
@@ -63,7 +63,7 @@
         QuotaRules, "counted_s", property(lambda self: self.window_s)
     ),
     "whoever joins lends at once": lambda: patch.object(IssuerLease, "install_view", _lend_at_once),
-    "a lender needs no vouchers": lambda: patch.object(IssuerLease, "holds", _need_no_vouchers),
+    "a lender needs no vouchers": lambda: patch.object(IssuerLease, "is_held", _need_no_vouchers),
     "credits count from the answer": lambda: patch.object(
         quota_model, "credit_left_s", _from_answer
     ),
--- a/yarrowwall/ports/quotas.py
+++ b/yarrowwall/ports/quotas.py
@@ -1,4 +1,4 @@
-"""Credits for sending requests of a tenant, as a gateway asks for them."""
+"""Permits for sending requests of a tenant, as a gateway uses them."""
 
 from abc import ABC, abstractmethod
 
@@ -6,38 +6,38 @@
 
 
 class Allowance(ABC):
-    """The credits of one attempt: each sending needs one."""
+    """The permits of one attempt; each request sent to a server needs one."""
 
     @abstractmethod
     def prefetch(self) -> None:
-        """Begin to ask for a credit; whoever needs it waits for the answer then."""
+        """Request a permit without waiting for the answer."""
 
     @abstractmethod
     def admit_program(self, expected_requests: float) -> None:
-        """Ask whether a new program is welcome.
+        """Ask whether a new program fits the tenant's limit.
 
-        :param expected_requests: that it will make in all.
-        :raises RefusedError: if it does not fit the tenant's limit now.
+        :param expected_requests: Number of requests that the program is expected to make.
+        :raises RefusedError: If it does not fit the limit now.
         """
 
     @abstractmethod
     def use_permit(self) -> None:
-        """Use a credit for a sending that happens right now, waiting for it if need be.
+        """Use a permit for a request that is sent immediately, waiting for one if necessary.
 
-        :raises RefusedError: if there is none.
+        :raises RefusedError: If none is available.
         """
 
     @abstractmethod
     def note_not_run(self) -> None:
-        """Note that the last sending surely did not run: its credit serves the next one."""
+        """Note that the last request certainly did not run, so its permit can be used again."""
 
     @abstractmethod
     def close(self) -> None:
-        """Give back what was not used."""
+        """Release unused permits."""
 
 
 class QuotaSource(ABC):
-    """Gives attempts their credits."""
+    """Provides the allowances of attempts."""
 
     @abstractmethod
     def allowance(self, attempt: Attempt) -> Allowance:
@@ -48,16 +48,16 @@
     """The allowance of a tenant without a limit."""
 
     def prefetch(self) -> None:
-        """Ask nobody."""
+        """Request nothing."""
 
     def admit_program(self, expected_requests: float) -> None:
-        """Ask nobody."""
+        """Admit every program."""
 
     def use_permit(self) -> None:
         """Return at once."""
 
     def note_not_run(self) -> None:
-        """Keep nothing."""
+        """Do nothing, since no permit was used."""
 
     def close(self) -> None:
-        """Give nothing back."""
+        """Do nothing, since no permit is held."""
--- a/yarrowwall/quotas/__init__.py
+++ b/yarrowwall/quotas/__init__.py
@@ -1,6 +1,7 @@
-"""Limits of tenants' requests, kept over all gateways together.
+"""Rate limits of tenants, enforced across all gateways.
 
-Each replica of a tenant's group lends a fixed part of the tenant's limit: the parts add up to
-the limit, so no replica needs to know what the others lend. A gateway borrows before it sends a
-request to a server, from whichever replica has room. See docs/design/0007-tenants.md.
+Each replica of a tenant's group issues permits from a fixed share of the tenant's limit. The shares
+add up to the limit, so no replica needs to know what the others have issued. A gateway obtains a
+permit from any replica that has some left before it sends a request to a server. See
+docs/design/0007-tenants.md.
 """
--- a/yarrowwall/quotas/issuer_lease.py
+++ b/yarrowwall/quotas/issuer_lease.py
@@ -1,9 +1,10 @@
-"""Whether a replica may lend its part of the limits. No I/O.
+"""Lease that allows a replica to issue permits from its share of the limits. No I/O.
 
-A replica that was replaced may not know it, if it is cut off from the others but not from all
-gateways. So it lends only while a majority of its group vouches, by their answers to its own
-questions, that the group has not moved on; and whoever joins a group lends only when all that
-the replaced one may have lent counts no more.
+A replaced replica may not know that it was replaced if it is cut off from the other replicas but
+still reachable by some gateways. It therefore issues only while a majority of its group has
+recently confirmed, in answers to its requests, that they know no newer view of the group. A
+replica that joins a group waits until every permit that the replaced one may have issued has
+expired.
 """
 
 from collections.abc import Mapping
@@ -15,45 +16,45 @@
 from yarrowwall.replication.replica import FIRST_EPOCH
 from yarrowwall.replication.views import Voucher, disk_ids
 
-#: Seconds for which the answer of another replica vouches, counted from the sending of the
-#: question: four questions, so that one lost answer ends nothing.
+#: Seconds for which an answer of another replica counts, from the time its request was sent. Four
+#: requests are sent in that time, so one lost answer does not end the lease.
 LEASE_SECONDS = 1.6
-#: Seconds by which clocks may run apart while all that was lent before runs out.
-MARGIN_SECONDS = 0.3
-#: Epochs by which a group moves on when one member is replaced: one while it changes, one
-#: when that is over. A replica that sees a longer step may have been out of the group.
-EPOCHS_OF_A_CHANGE = 2
-#: The place of a disk that is not of a group: behind all lenders.
-_LAST_PLACE = 1000
+#: Allowance in seconds for clock drift while permits issued earlier expire.
+CLOCK_MARGIN_SECONDS = 0.3
+#: Epochs that one change of members takes: one for the joint view and one for the final view. A
+#: replica that sees a larger step may have been outside the group in between.
+EPOCHS_PER_CHANGE = 2
+#: Rank of a disk that is not in the group, behind all issuers.
+_LAST_RANK = 1000
 
 
-class _Former(NamedTuple):
-    """A group that there was before.
+class _PreviousGroup(NamedTuple):
+    """An earlier view of the group.
 
-    :param until_s: when what was lent in it counts no more.
+    :param counted_until_s: Monotonic time from which permits issued in this view no longer count.
     """
 
     view: GroupView
-    until_s: float
+    counted_until_s: float
 
 
 class IssuerLease:
-    """The right of one disk to lend.
+    """The lease of one disk to issue permits.
 
-    :param counted_s: for how many seconds what was lent counts.
+    :param counted_s: Seconds for which an issued permit counts against the limit.
     """
 
     def __init__(self, disk_id: str, counted_s: float) -> None:
         self._disk_id = disk_id
-        self._wait_s = counted_s + LEASE_SECONDS + MARGIN_SECONDS
+        self._wait_s = counted_s + LEASE_SECONDS + CLOCK_MARGIN_SECONDS
         self._view: GroupView | None = None
-        self._formers: list[_Former] = []
-        self._from_s: float | None = None
+        self._previous: list[_PreviousGroup] = []
+        self._issue_from_s: float | None = None
         self._has_begun = False
 
     @property
     def group(self) -> int | None:
-        """Return the group that the replica is a member of; None if of none."""
+        """Return the group that the replica is a member of, or None."""
         return self._view.group if self._view is not None and self._is_member else None
 
     @property
@@ -61,79 +62,89 @@
         return self._view is not None and self._disk_id in disk_ids(self._view.members)
 
     def install_view(self, view: GroupView, now_s: float) -> None:
-        """Take in a newer view of the group."""
+        """Install a view of the group unless it is older than the current one."""
         known = self._view
         if known is not None and view.epoch <= known.epoch:
             return
         was_member = self._is_member
         if known is None and view.epoch > FIRST_EPOCH:
-            # What was before is not known any more, after a start.
+            # After a restart the earlier views are unknown: an empty one gives the last rank.
             known = GroupView(view.group, 0, [], [])
         if known is not None:
-            self._formers.append(_Former(known, now_s + self._wait_s))
+            self._previous.append(_PreviousGroup(known, now_s + self._wait_s))
         self._view = view
         if not self._is_member:
-            self._from_s = None
+            self._issue_from_s = None
             self._has_begun = False
         elif view.epoch == FIRST_EPOCH:
-            # Nobody has lent before.
-            self._from_s = now_s
+            # In the first epoch no other replica can have issued permits before.
+            self._issue_from_s = now_s
             self._has_begun = True
-        elif known is None or not was_member or view.epoch - known.epoch > EPOCHS_OF_A_CHANGE:
-            self._from_s = now_s + self._wait_s
+        elif known is None or not was_member or view.epoch - known.epoch > EPOCHS_PER_CHANGE:
+            self._issue_from_s = now_s + self._wait_s
             self._has_begun = False
 
     @property
     def has_begun(self) -> bool:
-        """Return whether it lends, or did in this view, vouchers apart."""
+        """Return whether issuing has begun since the replica joined, confirmed now or not."""
         return self._is_member and self._has_begun
 
     def restore_begun(self, now_s: float) -> None:
-        """Take in from the disk that it lent in the view that was restored."""
+        """Restore from disk that issuing had begun in the restored view."""
         if self._is_member:
-            self._from_s = now_s
+            self._issue_from_s = now_s
             self._has_begun = True
 
     def begin(self, now_s: float) -> int | None:
-        """Return the epoch to note on disk if the wait is over just now."""
-        if self._has_begun or self._view is None or self._from_s is None or now_s < self._from_s:
+        """Begin issuing once the wait is over.
+
+        :returns: The epoch to record on disk, or None if issuing has begun already or may not yet.
+        """
+        if (
+            self._has_begun
+            or self._view is None
+            or self._issue_from_s is None
+            or now_s < self._issue_from_s
+        ):
             return None
         self._has_begun = True
         return self._view.epoch
 
     def rank(self, tenant: str, now_s: float) -> int:
-        """Return the place of this disk among the group's for a tenant, from 0.
+        """Return the rank of this disk among the group's issuers for a tenant, from 0.
 
-        For a while after a change it is the worst one of all groups that there were: whoever had
-        the better place before has lent by it.
+        After a change of members, the worst rank in the current and the recent views is used until
+        permits of the earlier views have expired: the issuer that held the better rank before may
+        have issued permits by it.
         """
-        self._formers = [former for former in self._formers if former.until_s > now_s]
-        places = [self._place(former.view, tenant) for former in self._formers]
-        return max([self._place(self._view, tenant), *places])
+        self._previous = [group for group in self._previous if group.counted_until_s > now_s]
+        previous_ranks = [self._rank_in(group.view, tenant) for group in self._previous]
+        return max([self._rank_in(self._view, tenant), *previous_ranks])
 
-    def _place(self, view: GroupView | None, tenant: str) -> int:
+    def _rank_in(self, view: GroupView | None, tenant: str) -> int:
         disks = disk_ids(view.members) if view is not None else []
         if self._disk_id not in disks:
-            return _LAST_PLACE
+            return _LAST_RANK
         own = score(tenant, self._disk_id)
         return sum(score(tenant, disk) < own for disk in disks)
 
-    def holds(self, confirmations: Mapping[str, Voucher], now_s: float) -> bool:
-        """Return whether the replica may lend now.
+    def is_held(self, confirmations: Mapping[str, Voucher], now_s: float) -> bool:
+        """Return whether the replica may issue permits now.
 
-        :param vouchers: what the other replicas said last, by disk.
+        :param confirmations: The latest confirmation of each other replica, by disk.
         """
-        if self._view is None or self._from_s is None or now_s < self._from_s:
+        if self._view is None or self._issue_from_s is None or now_s < self._issue_from_s:
             return False
         members = disk_ids(self._view.members)
-        vouching = sum(
-            disk == self._disk_id or self._vouches(confirmations.get(disk), self._view.epoch, now_s)
+        confirming = sum(
+            disk == self._disk_id
+            or self._confirms(confirmations.get(disk), self._view.epoch, now_s)
             for disk in members
         )
-        return vouching >= majority(len(members))
+        return confirming >= majority(len(members))
 
     @staticmethod
-    def _vouches(confirmation: Voucher | None, epoch: int, now_s: float) -> bool:
+    def _confirms(confirmation: Voucher | None, epoch: int, now_s: float) -> bool:
         if confirmation is None or confirmation.epoch > epoch:
             return False
         return confirmation.asked_at_s >= now_s - LEASE_SECONDS
--- a/yarrowwall/quotas/issuer_order.py
+++ b/yarrowwall/quotas/issuer_order.py
@@ -1,4 +1,4 @@
-"""Which replicas a gateway asks for credits, and in which order. No I/O."""
+"""Order in which a gateway asks replicas for permits. No I/O."""
 
 from collections.abc import Sequence
 from typing import NamedTuple
@@ -6,87 +6,97 @@
 from yarrowwall.hashing import score
 from yarrowwall.messages.replicated import Member
 
-#: Seconds for which a replica that did not answer, or may not lend, is asked last: as long as one
-#: that was too slow for a quorum.
-PASS_OVER_SECONDS = 1.0
-#: Most seconds for which a replica without room is asked last: others may give credits back.
-MOST_EXHAUSTED_SECONDS = 0.5
+#: Seconds for which a replica that did not answer or may not issue is asked last. Replicas that
+#: are too slow for a quorum are skipped for as long.
+SKIP_SECONDS = 1.0
+#: Longest time in seconds for which an exhausted replica is asked last: gateways may return
+#: permits to it sooner than it expects.
+MAX_EXHAUSTED_SECONDS = 0.5
 
 
-class _Place(NamedTuple):
-    """A tenant's part at a lender."""
+class _TenantIssuer(NamedTuple):
+    """An issuer's share of one tenant's limit."""
 
     tenant: str
     disk_id: str
 
 
 class IssuerOrder:
-    """The order in which the lenders of a tenant are asked.
+    """Orders the issuers of a tenant for requests.
 
-    The own zone comes first, which saves 2.8 ms a question; lenders known to have no room, or
-    not to answer, come last.
+    Issuers in the gateway's zone come first, which saves 2.8 ms per request. Issuers known to be
+    exhausted or unavailable come last.
+
+    :param zone: The gateway's zone.
     """
 
     def __init__(self, zone: str) -> None:
         self._zone = zone
-        self._silent_until_s: dict[str, float] = {}
-        self._exhausted_until_s: dict[_Place, float] = {}
+        self._unavailable_until_s: dict[str, float] = {}
+        self._exhausted_until_s: dict[_TenantIssuer, float] = {}
 
     def candidates(self, members: Sequence[Member], tenant: str, now_s: float) -> list[Member]:
-        """Return the lenders worth asking, those first that had better be asked first.
+        """Return the issuers to ask, in order.
 
-        Of those known to have no room, or not to answer, only one is worth a question, and only
-        if there is no other. A tenant far above its limit would cost five for each request, and a
-        gateway that is cut off would hold each request for five time-outs (0.35 s were seen).
+        If all are known to be exhausted or unavailable, only one of them is asked. Otherwise, a
+        tenant far above its limit would cause five messages per request, and a gateway that is cut
+        off would delay each request by five timeouts (0.35 s were observed).
         """
 
         def exhausted_until_s(member: Member) -> float:
-            until_s = self._exhausted_until_s.get(_Place(tenant, member.disk_id), 0.0)
+            until_s = self._exhausted_until_s.get(_TenantIssuer(tenant, member.disk_id), 0.0)
             return until_s if until_s > now_s else 0.0
 
-        def is_silent(member: Member) -> bool:
-            return self._silent_until_s.get(member.disk_id, 0.0) > now_s
+        def is_unavailable(member: Member) -> bool:
+            return self._unavailable_until_s.get(member.disk_id, 0.0) > now_s
 
         def rank(member: Member) -> tuple[bool, float, bool, int]:
             return (
-                is_silent(member),
+                is_unavailable(member),
                 exhausted_until_s(member),
                 member.zone != self._zone,
                 score(tenant, member.disk_id),
             )
 
         ranked = sorted(members, key=rank)
-        able = [one for one in ranked if not is_silent(one) and not exhausted_until_s(one)]
-        return able or ranked[:1]
+        available = [
+            member
+            for member in ranked
+            if not is_unavailable(member) and not exhausted_until_s(member)
+        ]
+        return available or ranked[:1]
 
-    def is_silent(self, members: Sequence[Member], now_s: float) -> bool:
-        """Return whether none of the lenders answered lately."""
-        return all(self._silent_until_s.get(one.disk_id, 0.0) > now_s for one in members)
+    def are_all_unavailable(self, members: Sequence[Member], now_s: float) -> bool:
+        """Return whether every issuer recently failed to answer or could not issue."""
+        return all(self._unavailable_until_s.get(member.disk_id, 0.0) > now_s for member in members)
 
-    def home(self, members: Sequence[Member], tenant: str, now_s: float) -> list[Member]:
-        """Return the lenders in the order in which all gateways ask them of new programs."""
+    def for_new_program(self, members: Sequence[Member], tenant: str, now_s: float) -> list[Member]:
+        """Return the issuers in the order for admitting programs, the same at all gateways."""
 
         def rank(member: Member) -> tuple[bool, int]:
-            is_silent = self._silent_until_s.get(member.disk_id, 0.0) > now_s
-            return is_silent, score(tenant, member.disk_id)
+            is_unavailable = self._unavailable_until_s.get(member.disk_id, 0.0) > now_s
+            return is_unavailable, score(tenant, member.disk_id)
 
         return sorted(members, key=rank)
 
     def note_answered(self, member: Member) -> None:
-        """Note that a lender answers, late as it may be."""
-        self._silent_until_s.pop(member.disk_id, None)
+        """Note that an issuer answered, even if late."""
+        self._unavailable_until_s.pop(member.disk_id, None)
 
-    def note_silent(self, member: Member, now_s: float) -> None:
-        """Note that a lender did not answer, or may not lend."""
-        self._silent_until_s[member.disk_id] = now_s + PASS_OVER_SECONDS
+    def note_unavailable(self, member: Member, now_s: float) -> None:
+        """Note that an issuer did not answer or may not issue."""
+        self._unavailable_until_s[member.disk_id] = now_s + SKIP_SECONDS
 
     def note_exhausted(self, member: Member, tenant: str, after_s: float, now_s: float) -> None:
-        """Note that a lender has room again only after some seconds."""
-        until_s = now_s + min(after_s, MOST_EXHAUSTED_SECONDS)
-        self._exhausted_until_s[_Place(tenant, member.disk_id)] = until_s
+        """Note that an issuer has no permits for a tenant.
+
+        :param after_s: Seconds until it expects to have some again.
+        """
+        until_s = now_s + min(after_s, MAX_EXHAUSTED_SECONDS)
+        self._exhausted_until_s[_TenantIssuer(tenant, member.disk_id)] = until_s
 
-    def forget_past(self, now_s: float) -> None:
-        """Forget what is over."""
+    def drop_expired(self, now_s: float) -> None:
+        """Drop expired notes about exhausted issuers."""
         self._exhausted_until_s = {
-            place: until_s for place, until_s in self._exhausted_until_s.items() if until_s > now_s
+            key: until_s for key, until_s in self._exhausted_until_s.items() if until_s > now_s
         }
--- a/yarrowwall/quotas/permit_client.py
+++ b/yarrowwall/quotas/permit_client.py
@@ -1,7 +1,7 @@
-"""The gateway's side of limits: borrows credits before requests are sent.
+"""Obtains permits for a gateway before it sends requests of tenants with a limit.
 
-A credit holds for a short time on this gateway's own clock, counted from before its question was
-sent, which is no later than the moment from which the lender counts it.
+A permit is valid for a short time on this gateway's clock, counted from before its request was
+sent. The issuer counts it from that time or later.
 """
 
 from collections.abc import Callable
@@ -26,24 +26,27 @@
 from yarrowwall.replication.group_views import GroupViews
 from yarrowwall.replication.rpc import LinkTable
 
-#: A lender is late, and the next one is asked as well, after this many times what is usual,
-#: within these bounds in seconds. The way between zones, a sync of its disk and its queue take
-#: 5 ms; where all are slow, asking all of them for each request would make them slower.
+#: An answer is late, and the next issuer is asked as well, after this many times the average
+#: response time, within these bounds in seconds. Network latency between zones, an issuer's disk
+#: sync and its queue take 5 ms. The wait grows with the average because asking every issuer for
+#: each request while all are slow would make them slower.
 LATE_FACTOR = 4.0
-LATE_SECONDS = 0.08
-MOST_LATE_SECONDS = 0.3
-#: What is held to be usual before the first answer, and the weight of the newest one.
-FIRST_USUAL_SECONDS = 0.01
-USUAL_WEIGHT = 0.1
-#: Seconds to wait for any lender. All replicas may be slow at once, and a refusal may end a
-#: program; the reservation of a turn waits as long.
-MOST_WAIT_SECONDS = 0.6
+MIN_LATE_SECONDS = 0.08
+MAX_LATE_SECONDS = 0.3
+#: Response time in seconds that is assumed before the first answer, and the weight of a new one in
+#: the moving average.
+INITIAL_RESPONSE_SECONDS = 0.01
+RESPONSE_TIME_WEIGHT = 0.1
+#: Longest time in seconds to wait for a permit. All replicas may be slow at once, and a refusal may
+#: end a program. The reservation of a turn may take as long.
+MAX_WAIT_SECONDS = 0.6
 
 
 class PermitClient(QuotaSource):
-    """Borrows from the replicas of a tenant's group.
+    """Requests permits from the replicas of a tenant's group.
 
-    :param now: the monotonic clock.
+    :param zone: The gateway's zone.
+    :param now: Returns the monotonic time in seconds.
     """
 
     def __init__(
@@ -59,21 +62,21 @@
         self.log = log
         self.now = now
         self.order = IssuerOrder(zone)
-        self.stock = PermitPool(links, now)
-        self._usual_s = FIRST_USUAL_SECONDS
+        self.pool = PermitPool(links, now)
+        self._mean_response_s = INITIAL_RESPONSE_SECONDS
 
     @property
-    def late_s(self) -> float:
-        """Return the seconds after which a lender is held to be late."""
-        return min(max(LATE_FACTOR * self._usual_s, LATE_SECONDS), MOST_LATE_SECONDS)
+    def late_after_s(self) -> float:
+        """Return the seconds after which an answer counts as late."""
+        return min(max(LATE_FACTOR * self._mean_response_s, MIN_LATE_SECONDS), MAX_LATE_SECONDS)
 
-    def note_answered(self, question: PermitRequest) -> None:
-        """Take in that a lender answered, and how long it took."""
-        if question.reply is None or question.reply.status is QuotaStatus.NOT_ENTITLED:
+    def note_answered(self, request: PermitRequest) -> None:
+        """Update the average response time, unless the issuer failed or may not issue."""
+        if request.reply is None or request.reply.status is QuotaStatus.NOT_ENTITLED:
             return
-        self.order.note_answered(question.issuer)
-        took_s = self.now() - question.asked_at_s
-        self._usual_s += USUAL_WEIGHT * (took_s - self._usual_s)
+        self.order.note_answered(request.issuer)
+        took_s = self.now() - request.sent_at_s
+        self._mean_response_s += RESPONSE_TIME_WEIGHT * (took_s - self._mean_response_s)
 
     def allowance(self, attempt: Attempt) -> Allowance:
         """Return the allowance of an attempt."""
@@ -82,187 +85,189 @@
         return LimitedAllowance(self, attempt, attempt.limit)
 
     def drop_expired(self) -> None:
-        """Give back what is over; forget which lenders had no room a while ago."""
-        self.stock.sweep()
-        self.order.forget_past(self.now())
+        """Return expired permits, and drop outdated notes about exhausted issuers."""
+        self.pool.drop_expired()
+        self.order.drop_expired(self.now())
 
 
 class LimitedAllowance(Allowance):
     """The allowance of an attempt of a tenant with a limit."""
 
-    def __init__(self, borrower: PermitClient, attempt: Attempt, limit: TenantLimit) -> None:
-        self._borrower = borrower
+    def __init__(self, client: PermitClient, attempt: Attempt, limit: TenantLimit) -> None:
+        self._client = client
         self._attempt_id = attempt.attempt_id
         self._tenant = attempt.tenant
         self._limit = limit
-        self._questions = PermitRequests(borrower.note_answered)
-        self._asked: set[str] = set()
-        self._credit: Permit | None = None
-        self._spent: Permit | None = None
+        self._requests = PermitRequests(client.note_answered)
+        self._asked_disks: set[str] = set()
+        self._permit: Permit | None = None
+        self._used: Permit | None = None
 
-    # What a gateway asks
+    # Interface for the gateway
 
     def prefetch(self) -> None:
-        """Take a credit that is held, or begin to ask the first lender."""
-        self._credit = self._borrower.stock.take(self._tenant)
-        if self._credit is None:
-            self._ask_next()
+        """Take a permit from the pool, or request one without waiting for the answer."""
+        self._permit = self._client.pool.acquire(self._tenant)
+        if self._permit is None:
+            self._request_from_next()
 
     def admit_program(self, expected_requests: float) -> None:
-        """Ask whether a new program is welcome; whoever cannot be asked welcomes it.
+        """Ask the first available issuer to admit a new program; admit it if none answers.
 
-        :raises RefusedError: if it does not fit the tenant's limit now.
+        :raises RefusedError: If it does not fit the tenant's limit now.
         """
-        now_s = self._borrower.now()
+        now_s = self._client.now()
         members = self._members()
-        for issuer in self._borrower.order.home(members, self._tenant, now_s):
-            questions = PermitRequests(self._borrower.note_answered)
-            self._ask(questions, issuer, 0, expected_requests)
-            question = questions.next(self._borrower.late_s)
-            questions.close()
-            reply = question.reply if question is not None else None
+        for issuer in self._client.order.for_new_program(members, self._tenant, now_s):
+            requests = PermitRequests(self._client.note_answered)
+            self._request_from(requests, issuer, 0, expected_requests)
+            request = requests.next_answered(self._client.late_after_s)
+            requests.close()
+            reply = request.reply if request is not None else None
             if reply is None or reply.status is QuotaStatus.NOT_ENTITLED:
-                self._note_silent(issuer)
+                self._note_unavailable(issuer)
                 continue
             if reply.status is QuotaStatus.NO_ROOM:
                 raise self._refused(1, reply.retry_after_s, begins=True)
             return
 
     def use_permit(self) -> None:
-        """Use a credit for a sending that happens right now, waiting for it if need be.
+        """Use a permit for a request that is sent immediately, waiting for one if necessary.
 
-        :raises RefusedError: if there is none.
+        :raises RefusedError: If none is available.
         """
-        credit, self._credit = self._credit, None
-        if credit is not None and credit.expires_at_s <= self._borrower.now():
-            self._borrower.stock.give_back(credit)
-            credit = None
-        if credit is None:
-            credit = self._borrow()
-        self._spent = credit
+        permit, self._permit = self._permit, None
+        if permit is not None and permit.expires_at_s <= self._client.now():
+            self._client.pool.return_to_issuer(permit)
+            permit = None
+        if permit is None:
+            permit = self._request_permit()
+        self._used = permit
 
     def note_not_run(self) -> None:
-        """Note that the last sending surely did not run: its credit serves the next one."""
-        self._credit, self._spent = self._spent, None
+        """Note that the last request certainly did not run, so its permit can be used again."""
+        self._permit, self._used = self._used, None
 
     def close(self) -> None:
-        """Give back what was not used."""
-        self._questions.close()
-        if self._credit is not None:
-            self._borrower.stock.put(self._credit)
-            self._credit = None
+        """Cancel pending requests, and put an unused permit into the pool."""
+        self._requests.close()
+        if self._permit is not None:
+            self._client.pool.add(self._permit)
+            self._permit = None
 
-    # Lenders
+    # Requests to issuers
 
     @property
     def _group(self) -> int:
-        """Return the tenant's group; while none is known, one that has no members yet."""
-        return self._borrower.views.group_of(self._tenant) or 0
+        """Return the tenant's group, or 0, which has no members while no group is known."""
+        return self._client.views.group_of(self._tenant) or 0
 
     def _members(self) -> list[Member]:
-        view = self._borrower.views.get(self._group)
+        view = self._client.views.get(self._group)
         return view.members if view is not None else []
 
     def _issuers(self) -> list[Member]:
-        now_s = self._borrower.now()
-        return self._borrower.order.candidates(self._members(), self._tenant, now_s)
+        now_s = self._client.now()
+        return self._client.order.candidates(self._members(), self._tenant, now_s)
 
-    def _ask(
-        self, questions: PermitRequests, issuer: Member, count: int, program_size: float
+    def _request_from(
+        self, requests: PermitRequests, issuer: Member, count: int, program_size: float
     ) -> None:
-        request = TakeQuota(
+        message = TakeQuota(
             self._group, issuer.disk_id, self._tenant, self._limit, count, program_size
         )
-        link = self._borrower.links.get(issuer.address)
-        questions.add(issuer, link, request, self._borrower.now())
-
-    def _ask_next(self) -> bool:
-        """Ask the next lender; return whether there is one."""
-        left = [issuer for issuer in self._issuers() if issuer.disk_id not in self._asked]
-        if not left:
+        link = self._client.links.get(issuer.address)
+        requests.add(issuer, link, message, self._client.now())
+
+    def _request_from_next(self) -> bool:
+        """Send a request to the next issuer; return whether there was one left."""
+        candidates = [
+            issuer for issuer in self._issuers() if issuer.disk_id not in self._asked_disks
+        ]
+        if not candidates:
             return False
-        self._asked.add(left[0].disk_id)
-        count = self._borrower.stock.wanted(self._tenant)
-        self._ask(self._questions, left[0], count, 0.0)
+        self._asked_disks.add(candidates[0].disk_id)
+        count = self._client.pool.next_batch_size(self._tenant)
+        self._request_from(self._requests, candidates[0], count, 0.0)
         return True
 
-    def _borrow(self) -> Permit:
-        """Return a credit from whichever lender has room.
+    def _request_permit(self) -> Permit:
+        """Return a permit from the first issuer that grants one.
 
-        A lender that is late is not given up: the next one is asked, and whoever answers first
-        counts. All of them may be slow at once.
+        If an answer is late, its request stays pending and the next issuer is asked as well, since
+        all issuers may be slow at once.
 
-        :raises RefusedError: if none has room, or none answers.
+        :raises RefusedError: If no issuer has permits left, or none answers.
         """
-        end_s = self._borrower.now() + self._patience_s()
+        end_s = self._client.now() + self._max_wait_s()
         free_in_s: float | None = None
-        while self._questions.open or self._ask_next():
-            question = self._next_answer(end_s)
-            if question is None:
+        while self._requests.pending or self._request_from_next():
+            request = self._next_answer(end_s)
+            if request is None:
                 break
-            reply = question.reply
+            reply = request.reply
             if reply is None or reply.status is QuotaStatus.NOT_ENTITLED:
-                self._note_silent(question.issuer)
+                self._note_unavailable(request.issuer)
             elif reply.status is QuotaStatus.NO_ROOM:
-                self._note_exhausted(question.issuer, reply.retry_after_s)
+                self._note_exhausted(request.issuer, reply.retry_after_s)
                 free_in_s = min(free_in_s or reply.retry_after_s, reply.retry_after_s)
             else:
-                credit = self._take(question, reply)
-                if credit is not None:
-                    return credit
-        asked = len(self._asked)
-        self._begin_anew()
+                permit = self._accept(request, reply)
+                if permit is not None:
+                    return permit
+        asked = len(self._asked_disks)
+        self._reset()
         if free_in_s is None:
             reason = f"no replica lends of the limit of {self._tenant}"
             raise unavailable(reason, after_outage_s(0.0, self._attempt_id))
         raise self._refused(asked, free_in_s, begins=False)
 
-    def _patience_s(self) -> float:
-        """Return for how long to wait for any lender: shortly if none is held to answer."""
-        is_hopeless = self._borrower.order.is_silent(self._members(), self._borrower.now())
-        return LATE_SECONDS if is_hopeless else MOST_WAIT_SECONDS
+    def _max_wait_s(self) -> float:
+        """Return the seconds to wait for a permit: fewer if no issuer is likely to answer."""
+        is_unavailable = self._client.order.are_all_unavailable(self._members(), self._client.now())
+        return MIN_LATE_SECONDS if is_unavailable else MAX_WAIT_SECONDS
 
     def _next_answer(self, end_s: float) -> PermitRequest | None:
-        """Return the next answer, asking one lender more each time that none comes soon."""
-        while (left_s := end_s - self._borrower.now()) > 0.0:
-            question = self._questions.next(min(self._borrower.late_s, left_s))
-            if question is not None:
-                return question
-            for late in self._questions.open:
-                late.note_late()
-                self._note_silent(late.issuer)
-            if not self._ask_next():
-                return self._questions.next(end_s - self._borrower.now())
+        """Return the next answered request, asking one more issuer each time that it is late."""
+        while (left_s := end_s - self._client.now()) > 0.0:
+            request = self._requests.next_answered(min(self._client.late_after_s, left_s))
+            if request is not None:
+                return request
+            for overdue in self._requests.pending:
+                overdue.note_late()
+                self._note_unavailable(overdue.issuer)
+            if not self._request_from_next():
+                return self._requests.next_answered(end_s - self._client.now())
         return None
 
-    def _take(self, question: PermitRequest, reply: QuotaReply) -> Permit | None:
-        """Take in what a lender granted; return a credit that may be used now."""
+    def _accept(self, request: PermitRequest, reply: QuotaReply) -> Permit | None:
+        """Put the granted permits into the pool, except the first; return that if still valid."""
         if not reply.room:
-            self._note_exhausted(question.issuer, LATE_SECONDS)
-        first, *others = question.credits()
-        for credit in others:
-            self._borrower.stock.put(credit)
-        if first.expires_at_s <= self._borrower.now():
-            self._borrower.stock.give_back(first)
+            self._note_exhausted(request.issuer, MIN_LATE_SECONDS)
+        first, *others = request.take_permits()
+        for permit in others:
+            self._client.pool.add(permit)
+        if first.expires_at_s <= self._client.now():
+            self._client.pool.return_to_issuer(first)
             return None
-        self._begin_anew()
+        self._reset()
         return first
 
-    def _begin_anew(self) -> None:
-        """Give up what is still asked; a later sending may ask every lender again."""
-        self._questions.close()
-        self._asked.clear()
+    def _reset(self) -> None:
+        """Cancel pending requests, so that later calls may ask every issuer again."""
+        self._requests.close()
+        self._asked_disks.clear()
 
-    def _note_silent(self, issuer: Member) -> None:
-        self._borrower.order.note_silent(issuer, self._borrower.now())
+    def _note_unavailable(self, issuer: Member) -> None:
+        self._client.order.note_unavailable(issuer, self._client.now())
 
     def _note_exhausted(self, issuer: Member, after_s: float) -> None:
-        now_s = self._borrower.now()
-        self._borrower.order.note_exhausted(issuer, self._tenant, after_s, now_s)
+        now_s = self._client.now()
+        self._client.order.note_exhausted(issuer, self._tenant, after_s, now_s)
 
     def _refused(self, asked: int, free_in_s: float, begins: bool) -> RefusedError:
         retry_after_s = after_limit_s(free_in_s)
-        self._borrower.log.write(
+        self._client.log.write(
             decisions.QuotaRefused(self._attempt_id, self._tenant, asked, begins, retry_after_s)
         )
         reason = f"the limit of {self._tenant} is used up"
--- a/yarrowwall/quotas/permit_requests.py
+++ b/yarrowwall/quotas/permit_requests.py
@@ -1,4 +1,4 @@
-"""Questions of a gateway to lenders, whose answers are taken as they come."""
+"""Requests of a gateway to permit issuers, which may be outstanding at several at once."""
 
 from collections import deque
 from collections.abc import Callable
@@ -13,97 +13,97 @@
 
 
 class PermitRequest:
-    """A question to one lender.
+    """A request to one issuer.
 
-    :param arrived: called with the question once its answer is there.
-    :param answered: the same, even if it was given up before.
+    :param on_arrived: Called with the request when its answer arrives, unless it was cancelled.
+    :param on_answered: Called with the request when its answer arrives, even after cancelling.
     """
 
     def __init__(
         self,
         issuer: Member,
         link: Link,
-        request: TakeQuota,
+        message: TakeQuota,
         now_s: float,
-        arrived: Callable[["PermitRequest"], None],
-        answered: Callable[["PermitRequest"], None],
+        on_arrived: Callable[["PermitRequest"], None],
+        on_answered: Callable[["PermitRequest"], None],
     ) -> None:
         self.issuer = issuer
-        self.asked_at_s = now_s
+        self.sent_at_s = now_s
         self.reply: QuotaReply | None = None
-        self._arrived = arrived
-        self._answered = answered
-        self._is_given_up = False
+        self._on_arrived = on_arrived
+        self._on_answered = on_answered
+        self._is_cancelled = False
         self._link = link
-        self._request = request
-        self._number = link.post(request, self._complete)
+        self._message = message
+        self._number = link.post(message, self._complete)
 
     def _complete(self, reply: object | None) -> None:
         self.reply = reply if isinstance(reply, QuotaReply) else None
-        self._answered(self)
-        if self._is_given_up:
-            self._give_back()
+        self._on_answered(self)
+        if self._is_cancelled:
+            self._return_permits()
         else:
-            self._arrived(self)
+            self._on_arrived(self)
 
     def note_late(self) -> None:
-        """Note that the answer should have come by now."""
+        """Tell the link that the answer is overdue."""
         self._link.note_late(self._number)
 
-    def give_up(self) -> None:
-        """Give back whatever is granted, now or later."""
-        self._is_given_up = True
-        self._give_back()
+    def cancel(self) -> None:
+        """Return all permits that the answer brings, now or later."""
+        self._is_cancelled = True
+        self._return_permits()
 
-    def credits(self) -> list[Permit]:
-        """Return the credits that the answer brings, once."""
+    def take_permits(self) -> list[Permit]:
+        """Return the permits in the answer; a second call returns none."""
         reply, self.reply = self.reply, None
         if reply is None:
             return []
-        expires_at_s = self.asked_at_s + PERMIT_SECONDS
-        return [Permit(self.issuer, self._request, reply.ticket, expires_at_s)] * reply.granted
+        expires_at_s = self.sent_at_s + PERMIT_SECONDS
+        return [Permit(self.issuer, self._message, reply.ticket, expires_at_s)] * reply.granted
 
-    def _give_back(self) -> None:
-        for credit in self.credits():
-            self._link.tell(credit.returned())
+    def _return_permits(self) -> None:
+        for permit in self.take_permits():
+            self._link.tell(permit.return_message())
 
 
 class PermitRequests:
-    """Questions of one attempt to several lenders, whose answers are taken as they come.
+    """The requests of one attempt to several issuers, in the order in which answers arrive.
 
-    :param answered: called with each question that was answered, late as it may be.
+    :param on_answered: Called with each request that was answered, even if late.
     """
 
-    def __init__(self, answered: Callable[[PermitRequest], None]) -> None:
-        self._answered = answered
-        self.open: list[PermitRequest] = []
+    def __init__(self, on_answered: Callable[[PermitRequest], None]) -> None:
+        self._on_answered = on_answered
+        self.pending: list[PermitRequest] = []
         self._arrived: deque[PermitRequest] = deque()
         self._wakeup = Event()
 
-    def add(self, issuer: Member, link: Link, request: TakeQuota, now_s: float) -> None:
-        """Ask a lender."""
-        question = PermitRequest(issuer, link, request, now_s, self._take, self._answered)
-        self.open.append(question)
+    def add(self, issuer: Member, link: Link, message: TakeQuota, now_s: float) -> None:
+        """Send a request to an issuer."""
+        request = PermitRequest(issuer, link, message, now_s, self._note_arrived, self._on_answered)
+        self.pending.append(request)
 
-    def _take(self, question: PermitRequest) -> None:
-        self._arrived.append(question)
+    def _note_arrived(self, request: PermitRequest) -> None:
+        self._arrived.append(request)
         if not self._wakeup.ready():
             self._wakeup.send()
 
-    def next(self, timeout_s: float) -> PermitRequest | None:
-        """Return a question whose answer is there; None if none comes in time."""
+    def next_answered(self, timeout_s: float) -> PermitRequest | None:
+        """Wait for the next answer and return its request; None if none arrives in time."""
         if not self._arrived and timeout_s > 0.0:
             self._wakeup = Event()
             self._wakeup.wait(timeout_s)
         if not self._arrived:
             return None
-        question = self._arrived.popleft()
-        self.open.remove(question)
-        return question
+        request = self._arrived.popleft()
+        self.pending.remove(request)
+        return request
 
     def close(self) -> None:
-        """Give back whatever else is granted, now or later."""
-        for question in self.open:
-            question.give_up()
-        self.open.clear()
+        """Cancel all pending requests and return their permits."""
+        for request in self.pending:
+            request.cancel()
+        self.pending.clear()
         self._arrived.clear()
--- a/yarrowwall/quotas/permit_service.py
+++ b/yarrowwall/quotas/permit_service.py
@@ -1,4 +1,4 @@
-"""The process side of a lender: answers gateways once what it lends is on disk."""
+"""Issues permits to gateways, each once its record is on disk."""
 
 from collections.abc import Callable
 
@@ -13,9 +13,9 @@
 
 
 class PermitService:
-    """Lends this replica's part of tenants' limits while it is entitled to.
+    """Issues permits from this replica's share of tenants' limits while it holds the lease.
 
-    :param clock: reads the machine's clocks.
+    :param clock: Reads the machine's clocks.
     """
 
     def __init__(
@@ -29,7 +29,7 @@
         self._peers = peers
         self._log = log
         self._clock = clock
-        self._was_entitled = False
+        self._was_held = False
 
     @property
     def _issuer(self) -> PermitIssuer:
@@ -40,13 +40,13 @@
         return self._disk.lease
 
     def issue(self, request: TakeQuota, reply: Callable[[QuotaReply], None]) -> None:
-        """Lend if this replica may, and answer."""
+        """Issue permits if this replica may, and reply once they are on disk."""
         clock = self._clock()
-        is_meant = request.disk_id == self._disk.replica.disk_id
-        if not is_meant or request.group != self._lease.group:
+        is_addressed = request.disk_id == self._disk.replica.disk_id
+        if not is_addressed or request.group != self._lease.group:
             reply(NOT_ENTITLED)
             return
-        if not self._is_entitled(clock.steady_s):
+        if not self._is_lease_held(clock.steady_s):
             reply(NOT_ENTITLED)
             return
         outcome = self._issuer.issue(request, clock)
@@ -60,23 +60,23 @@
         )
 
     def return_permit(self, request: ReturnQuota) -> None:
-        """Take back what a gateway did not use."""
+        """Take back a permit that a gateway did not use."""
         if request.disk_id == self._disk.replica.disk_id:
             self._issuer.return_permit(request)
 
-    def _is_entitled(self, now_s: float) -> bool:
-        is_entitled = self._lease.holds(self._peers.confirmations(), now_s)
-        if is_entitled != self._was_entitled:
-            self._was_entitled = is_entitled
-            self._log.write(decisions.LendingChanged(self._disk.replica.epoch, is_entitled))
-        return is_entitled
+    def _is_lease_held(self, now_s: float) -> bool:
+        is_held = self._lease.is_held(self._peers.confirmations(), now_s)
+        if is_held != self._was_held:
+            self._was_held = is_held
+            self._log.write(decisions.LendingChanged(self._disk.replica.epoch, is_held))
+        return is_held
 
     def record_begun(self) -> None:
-        """Note on disk that lending has begun, so that a new start need not wait again."""
+        """Record on disk that issuing has begun, so that a restart does not have to wait again."""
         epoch = self._lease.begin(self._clock().steady_s)
         if epoch is not None:
             self._disk.persist([LendingBegun(epoch)])
 
     def drop_expired(self) -> None:
-        """Forget what counts no more."""
+        """Drop tenants without permits or programs that still count."""
         self._issuer.drop_idle(self._clock().steady_s)
--- a/yarrowwall/quotas/replica_disk.py
+++ b/yarrowwall/quotas/replica_disk.py
@@ -1,4 +1,4 @@
-"""A replica of a common group on its disk, with what it lent of tenants' limits."""
+"""A replica of a common group with its log on disk, which also holds its issued permits."""
 
 import time
 from collections.abc import Iterator
@@ -17,17 +17,17 @@
 
 
 class QuotaSettings(NamedTuple):
-    """How limits are measured, and into how many parts each is divided."""
+    """How limits are measured, and among how many issuers each is divided."""
 
     rules: QuotaRules
     issuers: int
 
 
 class ReplicaDisk(RecordDisk):
-    """A replica of a common group, which also lends, with its log on disk.
+    """A replica of a common group that also issues permits, with its log on disk.
 
-    :ivar lender: its part of tenants' limits.
-    :ivar entitlement: whether it may lend.
+    :ivar issuer: Issues its share of tenants' limits.
+    :ivar lease: Decides whether it may issue.
     """
 
     def __init__(self, node_id: str, folder: Path, quotas: QuotaSettings, log: DecisionLog) -> None:
@@ -42,7 +42,7 @@
         return self._restore_quotas(records, clock)
 
     def _restore_quotas(self, records: Iterator[DiskRecord], clock: Clock) -> Iterator[LogRecord]:
-        """Take in what concerns lending; return what concerns records."""
+        """Restore permits and the lease; yield the records of the replica itself."""
         for record in records:
             if isinstance(record, QuotaLent):
                 self.issuer.restore(record, clock)
--- a/yarrowwall/quotas/window.py
+++ b/yarrowwall/quotas/window.py
@@ -1,10 +1,10 @@
-"""Counting over a sliding span of time. No I/O."""
+"""Sliding-window counter. No I/O."""
 
 from collections import deque
 
 
 class _Entry:
-    """What was counted at one moment."""
+    """A count added at one time."""
 
     __slots__ = ("at_s", "count", "ticket")
 
@@ -15,9 +15,9 @@
 
 
 class SlidingWindow:
-    """The sum of what was counted in the last seconds.
+    """The sum of the counts added within the last seconds.
 
-    :param length_s: for how many seconds a count stays.
+    :param length_s: Length of the window in seconds.
     """
 
     def __init__(self, length_s: float) -> None:
@@ -27,36 +27,36 @@
         self._ticket = 0
 
     def add(self, count: float, now_s: float) -> int:
-        """Count something.
+        """Add a count.
 
-        :returns: a ticket by which it can be taken back.
+        :returns: A ticket for removing it again.
         """
         self._ticket += 1
         self._entries.append(_Entry(now_s, count, self._ticket))
         self._total += count
         return self._ticket
 
-    def take_back(self, ticket: int) -> None:
-        """Count one less of what a ticket stands for."""
+    def remove_one(self, ticket: int) -> None:
+        """Reduce the count of a ticket by one, if it is still in the window."""
         for entry in reversed(self._entries):
             if entry.ticket == ticket:
-                taken = min(1.0, entry.count)
-                self._total -= taken
-                entry.count -= taken
+                removed = min(1.0, entry.count)
+                self._total -= removed
+                entry.count -= removed
                 return
             if entry.ticket < ticket:
                 return
 
     def total(self, now_s: float) -> float:
-        """Return the sum of what was counted in the last seconds."""
+        """Return the sum of the counts in the window."""
         since_s = now_s - self._length_s
         while self._entries and self._entries[0].at_s < since_s:
             self._total -= self._entries.popleft().count
         return self._total
 
-    def room_after_s(self, wanted: float, most: float, now_s: float) -> float:
-        """Return after how many seconds so much more fits, if nothing else comes."""
-        excess = self.total(now_s) + wanted - most
+    def free_after_s(self, count: float, limit: float, now_s: float) -> float:
+        """Return the seconds until a count fits under a limit, if nothing else is added."""
+        excess = self.total(now_s) + count - limit
         if excess <= 0:
             return 0.0
         for entry in self._entries:
@@ -66,6 +66,6 @@
         return self._length_s
 
     def entries(self, now_s: float) -> list[tuple[float, float]]:
-        """Return age in seconds and count of all that still counts, oldest first."""
+        """Return the age in seconds and the count of each entry in the window, oldest first."""
         self.total(now_s)
         return [(now_s - entry.at_s, entry.count) for entry in self._entries if entry.count]
