--- a/features/steps/spent_budget_steps.py
+++ b/features/steps/spent_budget_steps.py
@@ -10,7 +10,7 @@
 from behave.runner import Context
 
 from yarrowwall.budgets.budget_requests import claim_for
-from yarrowwall.budgets.group_reachability import PROBE_SECONDS, GroupReachability
+from yarrowwall.budgets.group_reachability import PROBE_INTERVAL_SECONDS, GroupReachability
 from yarrowwall.budgets.ledger import ReplicatedLedger
 from yarrowwall.budgets.reservations import Reservations
 from yarrowwall.budgets.zone_groups import ZoneGroups
@@ -134,9 +134,9 @@
     context.turns += 1
     program = ProgramContext("looper", context.budget, MOST_TOKENS, None, None)
     attempt = f"attempt-{context.turns:03}"
-    wanted = claim_for("looper", program, attempt, RETENTION_SECONDS, COMMON)
+    claim = claim_for("looper", program, attempt, RETENTION_SECONDS, COMMON)
     try:
-        reserved = context.reservations.reserve(wanted, context.budget)
+        reserved = context.reservations.reserve(claim, context.budget)
     except BudgetExhaustedError:
         return "spent"
     except StoreUncertainError:
@@ -216,7 +216,7 @@
     context.groups.fails_once.add(COMMON)
     context.groups.silent.discard(COMMON)
     # Longer than between two questions whether it is back.
-    eventlet.sleep(2.0 * PROBE_SECONDS)
+    eventlet.sleep(2.0 * PROBE_INTERVAL_SECONDS)
 
 
 @then("the turn gets all that it may emit within {limit_s:f} s")
@@ -297,6 +297,6 @@
 @then("the next turn is granted all that it may emit")
 def granted_in_full(context: Context) -> None:
     program = ProgramContext("looper", context.budget, MOST_TOKENS, None, None)
-    wanted = claim_for("looper", program, "in-full", RETENTION_SECONDS, COMMON)
-    reserved = context.reservations.reserve(wanted, context.budget)
+    claim = claim_for("looper", program, "in-full", RETENTION_SECONDS, COMMON)
+    reserved = context.reservations.reserve(claim, context.budget)
     assert reserved.granted == MOST_TOKENS, reserved
--- a/features/steps/turn_keep_steps.py
+++ b/features/steps/turn_keep_steps.py
@@ -63,7 +63,7 @@
 def store_turn(context: Context, left_s: float) -> None:
     context.end_s = context.client.now_s + left_s
     try:
-        context.turns.keep(Turn("t", "", b"", b""), 60.0, [], lambda: context.end_s)
+        context.turns.store(Turn("t", "", b"", b""), 60.0, [], lambda: context.end_s)
     except StoreUncertainError:
         return
     raise AssertionError("the turn is stored")
@@ -75,6 +75,6 @@
 
 
 @then("it is given up no later than {most_s:f} s behind that time")
-def given_up(context: Context, most_s: float) -> None:
+def withdrawn_keys(context: Context, most_s: float) -> None:
     late_s = context.client.now_s - context.end_s
     assert late_s <= most_s, late_s
--- a/features/support/zone_mutants.py
+++ b/features/support/zone_mutants.py
@@ -10,7 +10,7 @@
 from yarrowwall.budgets.ledger import LedgerGrant, ReplicatedLedger
 from yarrowwall.budgets.reservations import Reservations
 from yarrowwall.budgets.turn_reservations import TurnReservations
-from yarrowwall.budgets.turn_store import TurnStore, _Found
+from yarrowwall.budgets.turn_store import TurnStore, _ChainLookup
 from yarrowwall.messages.replicated import StoredRecord
 from yarrowwall.policy import budget_parts
 from yarrowwall.policy.budget_parts import ClaimState, PartReading, Parts, Verdict
@@ -22,7 +22,7 @@
 _divide = budget_parts.divide
 _judge = budget_parts.judge
 _record = Reservations._record
-_look_everywhere = TurnStore._look_everywhere
+_find_turns = TurnStore._find_turns
 _WRITERS = quorum_client.WRITERS
 
 
@@ -32,7 +32,7 @@
 
 def _whole_rest_to_each(budget: int, zones: int) -> Parts:
     parts = _divide(budget, zones)
-    return Parts(parts.common, budget - parts.common)
+    return Parts(parts.common, budget - parts.common_group)
 
 
 def _common_grants_all(budget: int, zones: int) -> Parts:
@@ -62,28 +62,28 @@
     return _judge(readings, key, wanted, 0)
 
 
-def _common_alone(self: TurnStore, key: str, retention: float) -> _Found:
+def _common_alone(self: TurnStore, key: str, retention_s: float) -> _ChainLookup:
     group = self._group_of(key)
     try:
-        return _Found(self._look(group, key), [])
+        return _ChainLookup(self._read_from(group, key), [])
     except NoQuorumError as error:
-        return _Found([], [group], str(error))
+        return _ChainLookup([], [group], str(error))
 
 
-def _silence_is_no(self: TurnStore, key: str, retention: float) -> _Found:
-    found = _look_everywhere(self, key, retention)
-    return found._replace(unasked=[])
+def _silence_is_no(self: TurnStore, key: str, retention_s: float) -> _ChainLookup:
+    found = _find_turns(self, key, retention_s)
+    return found._replace(unanswered=[])
 
 
 def _more_without_a_claim(
     self: ReplicatedLedger, held: TurnReservations, budget: int, needed: int, end: Any
 ) -> None:
-    claim = held.next_claim(held.lacked)
-    held.add(Reservation(claim, {claim.common: claim.tokens}, claim.tokens, "", False))
+    claim = held.next_claim(held.missing_tokens)
+    held.add(Reservation(claim, {claim.common_group: claim.tokens}, claim.tokens, "", False))
 
 
-def _kept_in_memory(self: TurnStore, keeping: Any, own: int, wait_s: float) -> None:
-    self._copies.add([keeping.turn], keeping.retention, is_needed=False)
+def _kept_in_memory(self: TurnStore, pending: Any, own: int, timeout_s: float) -> None:
+    self._copier.add([pending.turn], pending.retention_s, is_urgent=False)
 
 
 def _one_disk_of_the_zone(view: Any, disks: Any) -> bool:
@@ -116,16 +116,16 @@
         reservations, "judge", _everyone_was_asked
     ),
     "says 404 without asking the zones": lambda: patch.object(
-        TurnStore, "_look_everywhere", _common_alone
+        TurnStore, "_find_turns", _common_alone
     ),
     "says 404 although a group was not asked": lambda: patch.object(
-        TurnStore, "_look_everywhere", _silence_is_no
+        TurnStore, "_find_turns", _silence_is_no
     ),
     "takes a turn for kept that waits to be copied": lambda: patch.object(
-        TurnStore, "_keep_in_zone", _kept_in_memory
+        TurnStore, "_store_in_zone", _kept_in_memory
     ),
     "leaves no trace of turns that a zone served": lambda: patch.object(
-        budget_requests.GroupState, "is_blank", property(lambda self: self.tokens == 0)
+        budget_requests.GroupState, "is_unused", property(lambda self: self.tokens == 0)
     ),
     "takes one disk of the zone for enough": lambda: patch.object(
         quorum_client,
--- a/yarrowwall/budgets/budget_requests.py
+++ b/yarrowwall/budgets/budget_requests.py
@@ -1,4 +1,4 @@
-"""What a turn wants of its program's budget, and what the groups tell of it. No I/O."""
+"""A turn's claim on its program's budget, and the state of the groups it is made in. No I/O."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -16,22 +16,25 @@
 from yarrowwall.replication.rounds import Amount
 
 _BUDGET_PREFIX = "budget/"
-#: Begins the key of what tells the common group that a turn ran by a zone's part alone.
-TRACE_PREFIX = "zone-turn/"
-#: Begins the key of what tells the common group that all parts together hold no further turn.
-#: Programs that go on all the same, and whose budgets are small, were 0.13 of all turns of a
-#: heavy day's first 15 s; each of these turns asked and settled five groups instead of one.
-_SPENT_PREFIX = "budget-spent/"
+#: Key prefix of the records in the common group of turns that ran from a zone's part alone.
+ZONE_TURN_PREFIX = "zone-turn/"
+#: Key prefix of the records in the common group of programs whose parts together hold no further
+#: turn. Programs with small budgets that continue all the same made up 0.13 of all turns in the
+#: first 15 s under heavy load. Without such a record, each of these turns asks and settles five
+#: groups instead of one.
+_EXHAUSTED_PREFIX = "budget-spent/"
 
 
 class TokenClaim(NamedTuple):
-    """Tokens that a turn wants.
-
-    :param program_id: the program, as one of its tenant's.
-    :param program_name: the program as callers name it.
-    :param key: of the turn's records, the same in all groups.
-    :param common: the program's common group.
-    :param given_up: keys of claims of the same turn that were not granted, and are settled soon.
+    """The tokens that a turn claims.
+
+    :param program_id: The program's id, qualified by its tenant.
+    :param program_name: The program's id as callers use it.
+    :param key: Key of the turn's records, the same in all groups.
+    :param tokens: The most tokens that the turn may emit.
+    :param retention_s: Seconds for which the route keeps records.
+    :param common_group: The program's common group.
+    :param withdrawn_keys: Keys of the turn's claims that were not granted and are being settled.
     """
 
     program_id: str
@@ -39,176 +42,187 @@
     attempt_id: str
     key: str
     tokens: int
-    retention: float
-    common: int
-    given_up: frozenset[str] = frozenset()
+    retention_s: float
+    common_group: int
+    withdrawn_keys: frozenset[str] = frozenset()
 
 
 def claim_for(
-    program_id: str, program: ProgramContext, attempt_id: str, retention: float, common: int
+    program_id: str, program: ProgramContext, attempt_id: str, retention_s: float, common_group: int
 ) -> TokenClaim:
-    """Return what a turn of a program wants."""
+    """Return the claim of a turn on its program's budget."""
     key = f"{_BUDGET_PREFIX}{program_id}/{attempt_id}"
     return TokenClaim(
-        program_id, program.program_id, attempt_id, key, program.most_tokens, retention, common
+        program_id,
+        program.program_id,
+        attempt_id,
+        key,
+        program.most_tokens,
+        retention_s,
+        common_group,
     )
 
 
 def further_claim(
-    wanted: TokenClaim, tokens: int, number: int, given_up: Iterable[str]
+    claim: TokenClaim, tokens: int, number: int, withdrawn_keys: Iterable[str]
 ) -> TokenClaim:
-    """Return what a turn wants beside its first claim, as another turn would.
+    """Return a further claim of a turn, which counts like the claim of another turn.
 
-    :param number: of the claim: those that were given up are settled, so each has a key of its own.
-    :param given_up: keys of those.
+    :param number: Number of the claim. Withdrawn claims are settled, so each needs a different key.
+    :param withdrawn_keys: Keys of the withdrawn claims.
     """
-    key = more_key(wanted.key, number)
-    return wanted._replace(key=key, tokens=tokens, given_up=frozenset(given_up))
+    key = more_key(claim.key, number)
+    return claim._replace(key=key, tokens=tokens, withdrawn_keys=frozenset(withdrawn_keys))
 
 
 class Reservation(NamedTuple):
-    """A granted reservation, and what it tells of its program.
+    """A granted reservation.
 
-    :param pieces: tokens granted by each group.
-    :param granted: the sum of these; less than what was wanted if some group was out of reach.
-    :param last_server: where its turn before ran; empty if unknown.
-    :param is_first: whether the program surely emitted nothing, and nothing of it is under way.
+    :param tokens_by_group: Tokens granted by each group.
+    :param granted: Their sum; less than the claim if some group was unreachable.
+    :param last_server: The server of the program's previous turn; empty if unknown.
+    :param is_first: Whether the program certainly has emitted nothing and runs no other turn.
     """
 
-    wanted: TokenClaim
-    pieces: dict[int, int]
+    claim: TokenClaim
+    tokens_by_group: dict[int, int]
     granted: int
     last_server: str
     is_first: bool
 
     @property
     def is_short(self) -> bool:
-        """Return whether the turn got less than the most that it may emit."""
-        return self.granted < self.wanted.tokens
+        """Return whether fewer tokens were granted than the turn may emit."""
+        return self.granted < self.claim.tokens
 
 
 class GroupState(NamedTuple):
-    """What a group told of a program beside one reservation.
+    """Other claims on a program's budget in one group.
 
-    :param amounts: by key, all that was met so far.
-    :param tokens: the sum of these.
+    :param amounts: All claims seen so far, by key.
+    :param last_server: The server of the program's previous turn; empty if unknown.
+    :param tokens: The sum of their tokens.
     """
 
     amounts: dict[str, Amount]
-    note: str
+    last_server: str
     tokens: int
 
     @property
     def is_settled(self) -> bool:
-        """Return whether no other turn is under way."""
+        """Return whether no other turn is running."""
         return all(amount.version >= ClaimState.SETTLED for amount in self.amounts.values())
 
     @property
-    def is_blank(self) -> bool:
-        """Return whether the program has emitted nothing, and nothing of it is under way."""
-        return self.tokens == 0 and not any(key.startswith(TRACE_PREFIX) for key in self.amounts)
+    def is_unused(self) -> bool:
+        """Return whether the program has emitted nothing and has no other turn running."""
+        return self.tokens == 0 and not any(
+            key.startswith(ZONE_TURN_PREFIX) for key in self.amounts
+        )
 
 
-def group_state(amounts: dict[str, Amount], note: str) -> GroupState:
-    """Return what a group told, given the other reservations that it holds."""
-    return GroupState(amounts, note, sum([amount.tokens for amount in amounts.values()]))
+def group_state(amounts: dict[str, Amount], last_server: str) -> GroupState:
+    """Return a group's state, given the other claims that it holds."""
+    return GroupState(amounts, last_server, sum([amount.tokens for amount in amounts.values()]))
 
 
 class BudgetRequest:
-    """One turn's reservation on its way through the groups.
+    """The progress of one turn's claim across the groups.
 
-    :param parts: the division of its program's budget.
-    :param zones: how many zones' groups may be asked beside the common one.
+    :param parts: The division of its program's budget.
+    :param zones: Number of zone groups that may be asked in addition to the common group.
     """
 
-    def __init__(self, wanted: TokenClaim, parts: Parts, zones: int) -> None:
-        self.wanted = wanted
-        self.common = wanted.common
+    def __init__(self, claim: TokenClaim, parts: Parts, zones: int) -> None:
+        self.claim = claim
+        self.common_group = claim.common_group
         self._zones = zones
         self._parts = parts
-        self.held: dict[int, GroupState] = {}
-        #: What the turn may take of each part that was asked.
-        self.pieces: dict[int, int] = {}
-        self.asked: dict[int, int] = {}
+        self.states: dict[int, GroupState] = {}
+        #: Tokens that the turn may take from each group that answered.
+        self.tokens_by_group: dict[int, int] = {}
+        self.claimed: dict[int, int] = {}
         self.unreachable: list[int] = []
         self.failure = ""
 
     @property
     def readings(self) -> dict[int, PartReading]:
-        """Return what is known of each part that was asked."""
+        """Return the state of each part whose group answered."""
         return {
-            group: PartReading(self._size(group), self.asked[group], held.amounts)
-            for group, held in self.held.items()
+            group: PartReading(self._part_size(group), self.claimed[group], state.amounts)
+            for group, state in self.states.items()
         }
 
     @property
-    def unread(self) -> int:
-        """Return the tokens of the parts of which nothing is known."""
-        is_common_read = self.common in self.held
-        zones_unread = self._zones - (len(self.held) - is_common_read)
+    def unread_tokens(self) -> int:
+        """Return the total size of the parts whose groups have not answered."""
+        is_common_read = self.common_group in self.states
+        zones_unread = self._zones - (len(self.states) - is_common_read)
         return zones_unread * self._parts.of_zone + (0 if is_common_read else self._parts.common)
 
     @property
     def is_exhausted(self) -> bool:
-        """Return whether the budget is too small, whatever the parts hold that were not asked."""
-        if self._is_marked_spent:
+        """Return whether the budget is too small even if all unread parts are free."""
+        if self._is_marked_exhausted:
             return True
-        wanted = self.wanted
-        return is_exhausted(self.readings, wanted.key, wanted.tokens, self.unread)
+        claim = self.claim
+        return is_exhausted(self.readings, claim.key, claim.tokens, self.unread_tokens)
 
     @property
-    def spent_mark(self) -> str | None:
-        """Return the key that spares the program's next turns the way to all groups.
+    def exhausted_marker(self) -> str | None:
+        """Return the key of the record that lets later turns be refused by the common group alone.
 
-        None if some of them may fit, or if the common group has it.
+        None if a later turn may fit, or if the common group already has such a record.
         """
-        if not self._parts.of_zone or self._is_marked_spent:
+        if not self._parts.of_zone or self._is_marked_exhausted:
             return None
-        if not is_spent(self.readings, self.wanted.tokens, self.unread):
+        if not is_spent(self.readings, self.claim.tokens, self.unread_tokens):
             return None
-        return f"{self._mark_prefix}{self.wanted.tokens}"
+        return f"{self._marker_prefix}{self.claim.tokens}"
 
     @property
-    def _is_marked_spent(self) -> bool:
-        held = self.held.get(self.common)
-        prefix = self._mark_prefix
-        marks = [key for key in held.amounts if key.startswith(prefix)] if held is not None else []
-        return any(int(key.removeprefix(prefix)) <= self.wanted.tokens for key in marks)
+    def _is_marked_exhausted(self) -> bool:
+        state = self.states.get(self.common_group)
+        prefix = self._marker_prefix
+        marks = (
+            [key for key in state.amounts if key.startswith(prefix)] if state is not None else []
+        )
+        return any(int(key.removeprefix(prefix)) <= self.claim.tokens for key in marks)
 
     @property
-    def _mark_prefix(self) -> str:
-        return f"{_SPENT_PREFIX}{self.wanted.program_id}/"
+    def _marker_prefix(self) -> str:
+        return f"{_EXHAUSTED_PREFIX}{self.claim.program_id}/"
 
-    def take(self, group: int, held: GroupState) -> None:
-        """Take in what a group told."""
-        self.held[group] = held
-        self.pieces = pieces_of(self.readings, self.wanted.tokens)
+    def add_state(self, group: int, state: GroupState) -> None:
+        """Add the state of a group that answered."""
+        self.states[group] = state
+        self.tokens_by_group = pieces_of(self.readings, self.claim.tokens)
 
-    def drop(self, group: int) -> None:
-        """Take nothing of a group that tells no more."""
-        del self.held[group]
-        self.pieces = pieces_of(self.readings, self.wanted.tokens)
+    def drop_state(self, group: int) -> None:
+        """Remove a group that no longer answers."""
+        del self.states[group]
+        self.tokens_by_group = pieces_of(self.readings, self.claim.tokens)
 
     @property
-    def missing(self) -> int:
-        """Return the tokens that the parts asked so far do not hold."""
-        return self.wanted.tokens - sum(self.pieces.values())
+    def missing_tokens(self) -> int:
+        """Return the claimed tokens that the groups asked so far cannot grant."""
+        return self.claim.tokens - sum(self.tokens_by_group.values())
 
     @property
-    def used(self) -> int:
-        """Return what other turns hold of the parts that were asked."""
-        return sum(held.tokens for held in self.held.values())
+    def used_tokens(self) -> int:
+        """Return the tokens that other turns hold in the groups asked so far."""
+        return sum(state.tokens for state in self.states.values())
 
     @property
     def last_server(self) -> str:
-        """Return where the program's turn before ran."""
-        return next((held.note for held in self.held.values() if held.note), "")
+        """Return the server of the program's previous turn; empty if unknown."""
+        return next((state.last_server for state in self.states.values() if state.last_server), "")
 
     @property
     def is_first(self) -> bool:
-        """Return whether the program surely emitted nothing before."""
-        is_blank = all(held.is_blank for held in self.held.values())
-        return self.common in self.held and is_blank
+        """Return whether the program certainly has emitted nothing before."""
+        is_unused = all(state.is_unused for state in self.states.values())
+        return self.common_group in self.states and is_unused
 
-    def _size(self, group: int) -> int:
-        return self._parts.common if group == self.common else self._parts.of_zone
+    def _part_size(self, group: int) -> int:
+        return self._parts.common if group == self.common_group else self._parts.of_zone
--- a/yarrowwall/budgets/ledger.py
+++ b/yarrowwall/budgets/ledger.py
@@ -28,19 +28,19 @@
 #: Seconds without a turn after which a group is asked whether it answers: a gateway grants from
 #: its zone's part alone only if it knows since when the common group is silent. A quarter of
 #: what it may then go on for; a gateway with a turn every few seconds asks nothing.
-PROOF_SECONDS = 15.0
+IDLE_CHECK_SECONDS = 15.0
 #: The same while some operations fail, for readiness hangs on the answer. Groups that turns reach
 #: are not asked, so a gateway beside a cut asks hardly anything.
-FAILING_PROOF_SECONDS = 1.0
+FAILING_CHECK_SECONDS = 1.0
 #: Seconds before a turn that was granted less than its most asks the same groups again.
-MORE_AGAIN_SECONDS = 1.0
+RESERVE_RETRY_SECONDS = 1.0
 #: Seconds between its looks whether more groups are in reach.
-MORE_LOOK_SECONDS = 0.05
+REACHABILITY_POLL_SECONDS = 0.05
 #: Seconds that the question whether a group answers may take, if turns fall back on others.
-PROBE_WAIT_SECONDS = 0.3
+PROBE_TIMEOUT_SECONDS = 0.3
 
 
-def _scoped(tenant: str, name: str) -> str:
+def _tenant_scoped(tenant: str, name: str) -> str:
     """Return a name that callers chose as one of its tenant's alone."""
     # No caller can make up another tenant's name: the length in front tells where it ends.
     return f"{len(tenant)}:{tenant}:{name}" if tenant and name else name
@@ -66,12 +66,14 @@
         self._log = log
         self._now = now
         self._zones = ZoneGroups(zone, views)
-        self._reach = GroupReachability(self._ask, log, now)
-        self._reach.on_unreachable = self._check_others
-        self._queues = SettlementQueues(client, self._reach)
-        self._reservations = Reservations(client, self._zones, self._reach, self._queues, log)
+        self._reachability = GroupReachability(self._check_group, log, now)
+        self._reachability.on_unreachable = self._check_others
+        self._queues = SettlementQueues(client, self._reachability)
+        self._reservations = Reservations(
+            client, self._zones, self._reachability, self._queues, log
+        )
         self._turns = TurnStore(
-            client, self.group_of, self._zones, self._reach, self._queues, log, now
+            client, self.group_of, self._zones, self._reachability, self._queues, log, now
         )
 
     @property
@@ -89,7 +91,7 @@
         if self._client.failing_seconds < UNREACHABLE_SECONDS:
             return True
         groups = [*range(self._views.count), self._zones.own]
-        return any(self._reach.has_answered_recently(group) for group in groups)
+        return any(self._reachability.has_answered_recently(group) for group in groups)
 
     @property
     def unreachable_s(self) -> float:
@@ -102,33 +104,33 @@
             self._probe_groups()
         elif self._client.failing_seconds and self._views.count:
             with contextlib.suppress(NoQuorumError):
-                self._ask(0)
+                self._check_group(0)
 
     def _probe_groups(self) -> None:
         """Keep the proofs that service from the zone's part and readiness depend on."""
         is_failing = self._client.failing_seconds > 0.0
-        most_s = FAILING_PROOF_SECONDS if is_failing else PROOF_SECONDS
+        max_idle_s = FAILING_CHECK_SECONDS if is_failing else IDLE_CHECK_SECONDS
         groups = list(range(self._views.count))
         own = self._zones.own
         if is_failing and own is not None:
             groups.append(own)
         for group in groups:
-            if self._reach.seconds_since_answer(group) > most_s:
-                self._reach.check(group)
+            if self._reachability.seconds_since_answer(group) > max_idle_s:
+                self._reachability.check(group)
 
     def _check_others(self, out: int) -> None:
         """Ask all other groups at once: what cut one off may have cut others off."""
         for group in [*range(self._views.count), *self._zones.own_first]:
             if group != out:
-                eventlet.spawn_n(self._reach.check, group)
+                eventlet.spawn_n(self._reachability.check, group)
 
-    def _ask(self, group: int) -> None:
+    def _check_group(self, group: int) -> None:
         """Ask whether a group can be read and written.
 
         :raises NoQuorumError: if it can not.
         """
-        wait_s = PROBE_WAIT_SECONDS if self._zones.part_count else OPERATION_SECONDS
-        self._client.check(group, wait_s)
+        timeout_s = PROBE_TIMEOUT_SECONDS if self._zones.part_count else OPERATION_SECONDS
+        self._client.check(group, timeout_s)
 
     def group_of(self, key: str) -> int:
         """Return the common group that keeps a key.
@@ -141,7 +143,7 @@
         return group
 
     def open_turn(
-        self, attempt: Attempt, route: Route, tokens_per_event: int, end: Callable[[], float]
+        self, attempt: Attempt, route: Route, tokens_per_event: int, deadline: Callable[[], float]
     ) -> TurnGrant:
         """Return the leave to run a turn.
 
@@ -152,18 +154,18 @@
         body = attempt.body
         program = attempt.program
         if route.is_stateful and program is not None:
-            self._turns.check_keepable(_scoped(attempt.tenant, attempt.attempt_id))
-            body = self._prompt(attempt, program, route)
+            self._turns.check_storable(_tenant_scoped(attempt.tenant, attempt.attempt_id))
+            body = self._prompt_body(attempt, program, route)
         reserved = None
         if program is not None and program.budget is not None:
             reserved = self._reserve(attempt, program, program.budget, route)
-        return LedgerGrant(self, attempt, route, body, reserved, tokens_per_event, end)
+        return LedgerGrant(self, attempt, route, body, reserved, tokens_per_event, deadline)
 
-    def _prompt(self, attempt: Attempt, program: ProgramContext, route: Route) -> bytes:
+    def _prompt_body(self, attempt: Attempt, program: ProgramContext, route: Route) -> bytes:
         """Return what the server is to get: all earlier turns and the new input."""
         if not program.previous_turn:
             return attempt.body
-        previous = _scoped(attempt.tenant, program.previous_turn)
+        previous = _tenant_scoped(attempt.tenant, program.previous_turn)
         turns = self._turns.chain(attempt.attempt_id, previous, route.retention_s)
         return prompt_body(turns, attempt.body)
 
@@ -174,13 +176,13 @@
 
         :raises BudgetExhaustedError: if the budget does not hold it.
         """
-        program_id = _scoped(attempt.tenant, program.program_id)
-        common = self.group_of(program_id)
-        wanted = claim_for(program_id, program, attempt.attempt_id, route.retention_s, common)
-        return self._reservations.reserve(wanted, budget)
+        program_id = _tenant_scoped(attempt.tenant, program.program_id)
+        common_group = self.group_of(program_id)
+        claim = claim_for(program_id, program, attempt.attempt_id, route.retention_s, common_group)
+        return self._reservations.reserve(claim, budget)
 
     def reserve_more(
-        self, held: TurnReservations, budget: int, needed: int, end: Callable[[], float]
+        self, held: TurnReservations, budget: int, needed: int, deadline: Callable[[], float]
     ) -> None:
         """Reserve what a turn lacks; ask again once more groups are in reach.
 
@@ -189,14 +191,14 @@
         :raises StoreUncertainError: if none grants any in that time, or the budget is used up.
         """
         while True:
-            in_reach = self._in_reach(held.wanted.common)
+            reachable = self._reachable_groups(held.first_claim.common_group)
             try:
                 held.add(self._reserve_rest(held, budget, needed))
                 return
             except (BudgetExhaustedError, StoreUncertainError) as error:
                 reason = f"{held.granted} tokens were granted; {error}"
-                if isinstance(error, BudgetExhaustedError) or not self._is_worth_asking(
-                    held, in_reach, end
+                if isinstance(error, BudgetExhaustedError) or not self._wait_to_retry(
+                    held, reachable, deadline
                 ):
                     raise StoreUncertainError(reason) from error
 
@@ -206,62 +208,65 @@
         :raises BudgetExhaustedError: if the budget does not hold that either.
         :raises StoreUncertainError: if too few groups could be asked.
         """
-        if not held.is_rest_refused:
+        if not held.is_remainder_refused:
             try:
-                return self._reservations.reserve(held.next_claim(held.lacked), budget)
+                return self._reservations.reserve(held.next_claim(held.missing_tokens), budget)
             except BudgetExhaustedError:
-                held.is_rest_refused = True
+                held.is_remainder_refused = True
             except StoreUncertainError:
                 # The groups in reach may hold what it needs at once all the same.
                 pass
         return self._reservations.reserve(held.next_claim(needed), budget)
 
-    def _is_worth_asking(
-        self, held: TurnReservations, asked: set[int], end: Callable[[], float]
+    def _wait_to_retry(
+        self, held: TurnReservations, tried: set[int], deadline: Callable[[], float]
     ) -> bool:
         """Wait until a turn may ask again; return False once its time is over.
 
         Each claim that is given up leaves a record, so it asks only if that may help.
         """
         # One that fell out of reach under the claim is worth asking once it is back.
-        asked = asked & self._in_reach(held.wanted.common)
-        again_at = self._now() + MORE_AGAIN_SECONDS
-        while self._now() < end() - END_MARGIN_SECONDS:
-            if self._now() >= again_at or self._in_reach(held.wanted.common) - asked:
+        tried = tried & self._reachable_groups(held.first_claim.common_group)
+        again_at = self._now() + RESERVE_RETRY_SECONDS
+        while self._now() < deadline() - END_MARGIN_SECONDS:
+            if (
+                self._now() >= again_at
+                or self._reachable_groups(held.first_claim.common_group) - tried
+            ):
                 return True
-            eventlet.sleep(MORE_LOOK_SECONDS)
+            eventlet.sleep(REACHABILITY_POLL_SECONDS)
         return False
 
-    def _in_reach(self, common: int) -> set[int]:
+    def _reachable_groups(self, common_group: int) -> set[int]:
         """Return the groups that a turn may ask now."""
-        groups = self._zones.common_first(common)
-        return {group for group in groups if not self._reach.is_unreachable(group)}
+        groups = self._zones.common_first(common_group)
+        return {group for group in groups if not self._reachability.is_unreachable(group)}
 
     def settle(self, held: TurnReservations, tokens: int, server_id: str) -> None:
         """Replace a turn's reservations by what was emitted, soon."""
-        for reserved, spent in held.spread(tokens):
+        for reserved, spent in held.allocate_spent(tokens):
             self._reservations.settle(reserved, spent, server_id)
-        wanted = held.wanted
-        self._log.write(decisions.BudgetSettled(wanted.attempt_id, wanted.program_id, tokens))
+        claim = held.first_claim
+        self._log.write(decisions.BudgetSettled(claim.attempt_id, claim.program_id, tokens))
 
-    def keep_turn(
+    def store_turn(
         self,
         turn: Turn,
         route: Route,
         held: TurnReservations | None,
         tokens: int,
         server_id: str,
-        end: Callable[[], float],
+        deadline: Callable[[], float],
     ) -> None:
         """Store a turn and the settlement of its reservations, if it has any.
 
         :param end: tells when the request's time is over, on the monotonic clock.
         :raises StoreUncertainError: if no quorum took it in time.
         """
-        settled: list[PlacedRecord] = []
-        for reserved, spent in held.spread(tokens) if held is not None else ():
-            settled += self._reservations.settled(reserved, spent, server_id)
-        self._turns.keep(turn, route.retention_s, settled, end)
+        settlement_records: list[PlacedRecord] = []
+        for reserved, spent in held.allocate_spent(tokens) if held is not None else ():
+            settlement_records += self._reservations.settlement_records(reserved, spent, server_id)
+        self._turns.store(turn, route.retention_s, settlement_records, deadline)
 
 
 class LedgerGrant(TurnGrant):
@@ -278,7 +283,7 @@
         body: bytes,
         reserved: Reservation | None,
         tokens_per_event: int,
-        end: Callable[[], float],
+        deadline: Callable[[], float],
     ) -> None:
         program = attempt.program
         is_continued = route.is_stateful and program is not None and bool(program.previous_turn)
@@ -291,10 +296,10 @@
         self._route = route
         self._held = TurnReservations(reserved) if reserved is not None else None
         self._tokens_per_event = tokens_per_event
-        self._end = end
+        self._deadline = deadline
         self._is_settled = False
 
-    def ensure_granted(self, passed: list[Event]) -> None:
+    def ensure_granted(self, relayed: list[Event]) -> None:
         """Reserve what events take beyond what was granted, before they are passed on.
 
         :raises StoreUncertainError: if less than the turn's most was granted, they exceed it, and
@@ -303,12 +308,12 @@
         held, program = self._held, self._attempt.program
         if held is None or program is None or program.budget is None:
             return
-        tokens = len(passed) * self._tokens_per_event
+        tokens = len(relayed) * self._tokens_per_event
         while held.is_short and tokens > held.granted:
-            needed = min(tokens, held.wanted.tokens) - held.granted
-            self._ledger.reserve_more(held, program.budget, needed, self._end)
+            needed = min(tokens, held.first_claim.tokens) - held.granted
+            self._ledger.reserve_more(held, program.budget, needed, self._deadline)
 
-    def complete(self, passed: list[Event], server_id: str) -> None:
+    def complete(self, relayed: list[Event], server_id: str) -> None:
         """Store the turn before the end of the answer is passed on.
 
         :raises StoreUncertainError: if that cannot be done.
@@ -318,24 +323,24 @@
             return
         tenant = self._attempt.tenant
         turn = Turn(
-            _scoped(tenant, self._attempt.attempt_id),
-            _scoped(tenant, program.previous_turn or ""),
+            _tenant_scoped(tenant, self._attempt.attempt_id),
+            _tenant_scoped(tenant, program.previous_turn or ""),
             self._attempt.body,
-            output_of(passed),
+            output_of(relayed),
         )
-        tokens = self._tokens(passed)
-        self._ledger.keep_turn(turn, self._route, self._held, tokens, server_id, self._end)
+        tokens = self._tokens(relayed)
+        self._ledger.store_turn(turn, self._route, self._held, tokens, server_id, self._deadline)
         self._is_settled = True
 
-    def close(self, passed: list[Event], server_id: str) -> None:
+    def close(self, relayed: list[Event], server_id: str) -> None:
         """Settle the turn, however it ended."""
         if self._held is not None and not self._is_settled:
             self._is_settled = True
-            self._ledger.settle(self._held, self._tokens(passed), server_id)
+            self._ledger.settle(self._held, self._tokens(relayed), server_id)
 
-    def _tokens(self, passed: list[Event]) -> int:
+    def _tokens(self, relayed: list[Event]) -> int:
         """Return the tokens that callers got."""
-        tokens = len(passed) * self._tokens_per_event
+        tokens = len(relayed) * self._tokens_per_event
         held = self._held
         if held is not None and held.is_short:
             # What was beyond the grant was not passed on.
--- a/yarrowwall/budgets/reservations.py
+++ b/yarrowwall/budgets/reservations.py
@@ -1,14 +1,14 @@
-"""Reservations of a program's tokens in the record store, over all parts of its budget.
+"""Reservations of a program's tokens in the record store, across all parts of its budget.
 
-A reservation is written to a quorum first, whose replies tell what else is held of the
-program there. If all of that is settled, it is granted by that alone; else all
-reservations of the program are read from a read quorum afterwards. Of any reservations
-that were granted in a group, one sees all the others (see docs/design/0004-platform.md), so
-their sum never exceeds the group's part, without a leader or an order among gateways. A
-reservation that is not settled, since its gateway died, counts in full.
+A claim is first written to a write quorum, whose replies list the other claims of the program in
+that group. If all of those are settled, the replies suffice for the decision. Otherwise all claims
+of the program are then read from a read quorum. Among any claims granted in a group, one has seen
+all the others (see docs/design/0004-platform.md), so their sum never exceeds the group's part,
+without a leader or an order among gateways. A reservation that is never settled because its gateway
+crashed counts in full.
 
-The common group is asked first, and alone as long as it is in reach and its part holds the
-turn. What is missing is asked of the zones' groups, the own zone's first.
+The common group is asked first, and no other while it is reachable and its part is large enough for
+the turn. Missing tokens are claimed from the zone groups, starting with the gateway's zone.
 """
 
 from collections.abc import Sequence
@@ -17,7 +17,7 @@
 
 from yarrowwall import decisions
 from yarrowwall.budgets.budget_requests import (
-    TRACE_PREFIX,
+    ZONE_TURN_PREFIX,
     BudgetRequest,
     GroupState,
     Reservation,
@@ -42,322 +42,324 @@
 from yarrowwall.replication.quorum_client import OPERATION_SECONDS, OwnerReading, QuorumClient
 from yarrowwall.replication.rounds import Amount, merged
 
-#: Looks at the reservations of a program whose turns came at once, and seconds between.
-CONTENTION_LOOKS = 5
-CONTENTION_SECONDS = 0.05
-#: Seconds that a turn waits for a group if another one can serve it. An answer takes
-#: milliseconds, and a silent member is passed over within 0.08 s. The last resort, which is the own
-#: zone's group if the common one is out of reach, has as long as any operation.
-FALL_BACK_SECONDS = 0.25
-#: Looks whether groups are back that a turn lacks tokens of, and seconds between. A process that
-#: starts again takes a second, and most groups are back sooner.
-RECOVERY_LOOKS = 10
-RECOVERY_LOOK_SECONDS = 0.05
-#: Seconds out of reach after which a group is not waited for.
+#: Decisions tried for concurrent turns of a program, and seconds between them.
+CONTENTION_ATTEMPTS = 5
+CONTENTION_INTERVAL_SECONDS = 0.05
+#: Timeout in seconds for a group if another one can serve the turn. An answer takes milliseconds,
+#: and a member that does not answer is skipped within 0.08 s. The last resort, which is the group
+#: of the gateway's zone if the common one is unreachable, has as long as any operation.
+FALLBACK_TIMEOUT_SECONDS = 0.25
+#: Checks whether unreachable groups that a turn needs tokens from have recovered, and seconds
+#: between them. A restart of a process takes a second, and most groups recover sooner.
+RECOVERY_CHECKS = 10
+RECOVERY_CHECK_SECONDS = 0.05
+#: Length of an outage in seconds after which a group is no longer waited for.
 BRIEF_OUTAGE_SECONDS = 2.0
-#: Seconds without the common group in which a zone grants from its part alone. What a program
-#: spent before must not be forgotten in the common group while it lives on in its zone, so
-#: records there are kept that much longer, and programs that pause before and after the cut
-#: twice as long. At 300 turns a second this is some 5 MB on each replica.
-ALONE_SECONDS = 60.0
-#: Seconds that spending from a zone's part is remembered. A program's records in the common group
-#: are renewed by its turns there and those in its zone are not, so this has to outlive programs.
+#: Seconds without the common group for which a zone grants from its part alone. The common group
+#: must not expire a program's records while the program continues in its zone, so records there are
+#: kept longer by this time. Twice the route's retention covers programs that pause both before and
+#: after the partition. At 300 turns a second this takes about 5 MB on each replica.
+ZONE_ONLY_SECONDS = 60.0
+#: Seconds for which records in a zone group are kept. A program's turns renew its records in the
+#: common group but not those in its zone, so this must exceed the lifetime of programs.
 ZONE_RETENTION_SECONDS = 86400.0
 
 
 class Reservations:
-    """Grants tokens by what the record store holds."""
+    """Reserves tokens of programs' budgets in the record store."""
 
     def __init__(
         self,
         client: QuorumClient,
         zones: ZoneGroups,
-        reach: GroupReachability,
+        reachability: GroupReachability,
         queues: SettlementQueues,
         log: DecisionLog,
     ) -> None:
         self._client = client
         self._zones = zones
-        self._reach = reach
+        self._reachability = reachability
         self._queues = queues
         self._log = log
 
-    def reserve(self, wanted: TokenClaim, budget: int) -> Reservation:
-        """Return a granted reservation.
+    def reserve(self, claim: TokenClaim, budget: int) -> Reservation:
+        """Reserve the claimed tokens, or fewer if some group is unreachable.
 
-        :raises BudgetExhaustedError: if the budget does not hold it.
-        :raises StoreUncertainError: if too few groups could be asked.
+        :raises BudgetExhaustedError: If too few tokens of the budget are left.
+        :raises StoreUncertainError: If too few groups could be asked.
         """
         request = BudgetRequest(
-            wanted, divide(budget, self._zones.part_count), self._zones.zone_count
+            claim, divide(budget, self._zones.part_count), self._zones.zone_count
         )
         try:
-            verdict = self._ask_groups(request)
+            verdict = self._claim_from_groups(request)
             if verdict is Verdict.SHORT:
-                verdict = self._ask_recovered(request)
+                verdict = self._retry_recovered_groups(request)
         except BaseException:
-            # The caller has left; a claim that nobody settles would count in full.
-            self._hand_back(request)
+            # The caller has disconnected. A claim that is never settled would count in full.
+            self._release_claims(request)
             raise
         self._note_decided(request, budget, verdict)
         if verdict in (Verdict.GRANTED, Verdict.SHORT):
-            return self._granted(request)
-        self._hand_back(request)
+            return self._grant(request)
+        self._release_claims(request)
         if verdict is Verdict.EXHAUSTED:
-            self._mark_spent(request)
-            raise BudgetExhaustedError(f"{request.used} of {budget} tokens are used")
-        raise StoreUncertainError(request.failure or _uncertainty(request.unreachable))
-
-    def _hand_back(self, request: BudgetRequest) -> None:
-        """Let go of all that a turn has claimed and was not granted."""
-        for group in request.asked:
-            self._queues.add(group, self._record(group, request.wanted, ClaimState.SETTLED, 0))
-
-    def _mark_spent(self, request: BudgetRequest) -> None:
-        """Let the common group tell the program's next turns that none can ever fit."""
-        key = request.spent_mark
+            self._mark_exhausted(request)
+            raise BudgetExhaustedError(f"{request.used_tokens} of {budget} tokens are used")
+        raise StoreUncertainError(request.failure or _uncertainty_reason(request.unreachable))
+
+    def _release_claims(self, request: BudgetRequest) -> None:
+        """Settle all claims of a turn that was not granted at zero tokens."""
+        for group in request.claimed:
+            self._queues.add(group, self._record(group, request.claim, ClaimState.SETTLED, 0))
+
+    def _mark_exhausted(self, request: BudgetRequest) -> None:
+        """Record in the common group that no such turn of the program can ever be granted."""
+        key = request.exhausted_marker
         if key is not None:
-            wanted = request.wanted
-            self._queues.add(wanted.common, self._marker(wanted, key, ""))
+            claim = request.claim
+            self._queues.add(claim.common_group, self._marker_record(claim, key, ""))
 
-    def settle(self, reserved: Reservation, tokens: int, server_id: str) -> None:
-        """Replace a reservation by what was emitted, soon."""
-        for group, record in self.settled(reserved, tokens, server_id):
+    def settle(self, reservation: Reservation, tokens: int, server_id: str) -> None:
+        """Queue the records that settle a reservation at the emitted tokens."""
+        for group, record in self.settlement_records(reservation, tokens, server_id):
             self._queues.add(group, record)
 
-    def settled(
-        self, reserved: Reservation, tokens: int, server_id: str
+    def settlement_records(
+        self, reservation: Reservation, tokens: int, server_id: str
     ) -> list[tuple[int, StoredRecord]]:
-        """Return the records that replace a reservation by what was emitted, with their groups."""
-        wanted = reserved.wanted
-        spent = spread(reserved.pieces, tokens)
-        found = [
-            (group, self._record(group, wanted, ClaimState.SETTLED, amount, server_id))
+        """Return the records that settle a reservation at the emitted tokens, with their groups."""
+        claim = reservation.claim
+        spent = spread(reservation.tokens_by_group, tokens)
+        records = [
+            (group, self._record(group, claim, ClaimState.SETTLED, amount, server_id))
             for group, amount in spent.items()
         ]
-        if tokens and not spent.get(wanted.common):
-            found.append((wanted.common, self._trace(wanted, server_id)))
-        return found
+        if tokens and not spent.get(claim.common_group):
+            records.append((claim.common_group, self._zone_turn_record(claim, server_id)))
+        return records
 
     # Records
 
     def _record(
         self,
         group: int,
-        wanted: TokenClaim,
+        claim: TokenClaim,
         state: ClaimState,
         amount: int,
         server_id: str = "",
     ) -> StoredRecord:
-        """Return a record of what a turn holds of a group's part.
+        """Return a record of the tokens that a turn holds in a group.
 
-        :param server_id: where the turn ran; the program's next turn had better go there.
+        :param server_id: The server where the turn ran, which the program's next turn prefers.
         """
-        retention = self._retention(group, wanted.retention)
-        owner = wanted.program_id
-        return StoredRecord(wanted.key, state, owner, "", retention, amount, server_id.encode())
-
-    def _trace(self, wanted: TokenClaim, server_id: str) -> StoredRecord:
-        """Return the record that tells the common group of a turn that ran without it."""
-        key = f"{TRACE_PREFIX}{wanted.program_id}/{wanted.attempt_id}"
-        return self._marker(wanted, key, server_id)
-
-    def _marker(self, wanted: TokenClaim, key: str, server_id: str) -> StoredRecord:
-        """Return a record of no tokens in a program's common group."""
-        retention = self._retention(wanted.common, wanted.retention)
-        owner = wanted.program_id
-        return StoredRecord(key, ClaimState.SETTLED, owner, "", retention, 0, server_id.encode())
-
-    def _retention(self, group: int, wanted: float) -> float:
-        """Return for how long a record is kept in a group, given its route's retention."""
+        retention_s = self._retention_s(group, claim.retention_s)
+        owner = claim.program_id
+        return StoredRecord(claim.key, state, owner, "", retention_s, amount, server_id.encode())
+
+    def _zone_turn_record(self, claim: TokenClaim, server_id: str) -> StoredRecord:
+        """Return the record for the common group of a turn that used no tokens of it."""
+        key = f"{ZONE_TURN_PREFIX}{claim.program_id}/{claim.attempt_id}"
+        return self._marker_record(claim, key, server_id)
+
+    def _marker_record(self, claim: TokenClaim, key: str, server_id: str) -> StoredRecord:
+        """Return a record without tokens for a program's common group."""
+        retention_s = self._retention_s(claim.common_group, claim.retention_s)
+        owner = claim.program_id
+        return StoredRecord(key, ClaimState.SETTLED, owner, "", retention_s, 0, server_id.encode())
+
+    def _retention_s(self, group: int, route_retention_s: float) -> float:
+        """Return the seconds for which a group keeps a record, given its route's retention."""
         if not self._zones.part_count:
-            return wanted
+            return route_retention_s
         if self._zones.is_zone_group(group):
-            return max(wanted, ZONE_RETENTION_SECONDS)
-        return 2.0 * wanted + ALONE_SECONDS
+            return max(route_retention_s, ZONE_RETENTION_SECONDS)
+        return 2.0 * route_retention_s + ZONE_ONLY_SECONDS
 
-    # Asking
+    # Claims
 
-    def _ask_groups(self, request: BudgetRequest) -> Verdict:
-        """Claim tokens of one group after the other until the turn has what it wants."""
-        for group in self._zones.common_first(request.common):
-            if self._reach.is_unreachable(group) or not self._may_ask(request, group):
+    def _claim_from_groups(self, request: BudgetRequest) -> Verdict:
+        """Claim tokens from one group after another until the turn has all it needs."""
+        for group in self._zones.common_first(request.common_group):
+            if self._reachability.is_unreachable(group) or not self._may_claim(request, group):
                 request.unreachable.append(group)
                 request.failure = request.failure or self._client.loss(group)
                 continue
             try:
-                self._claim(request, group)
+                self._claim_from(request, group)
             except NoQuorumError as error:
                 self._note_failed(request, group, error)
                 continue
-            if request.missing <= 0:
+            if request.missing_tokens <= 0:
                 return Verdict.GRANTED
             if request.is_exhausted:
                 return Verdict.EXHAUSTED
         return self._decide(request)
 
-    def _ask_recovered(self, request: BudgetRequest) -> Verdict:
-        """Ask groups that are back after a moment, before a turn begins with less than it wants."""
+    def _retry_recovered_groups(self, request: BudgetRequest) -> Verdict:
+        """Claim from groups that recover quickly, before a turn starts with too few tokens."""
         verdict = Verdict.SHORT
-        for _ in range(RECOVERY_LOOKS):
-            awaited = [group for group in request.unreachable if self._is_brief_outage(group)]
-            if not awaited or verdict is not Verdict.SHORT:
+        for _ in range(RECOVERY_CHECKS):
+            pending = [group for group in request.unreachable if self._is_brief_outage(group)]
+            if not pending or verdict is not Verdict.SHORT:
                 break
-            eventlet.sleep(RECOVERY_LOOK_SECONDS)
-            back = [group for group in awaited if not self._reach.is_unreachable(group)]
-            for group in back:
-                self._ask_again(request, group)
-            if back:
-                verdict = Verdict.GRANTED if request.missing <= 0 else self._decide(request)
+            eventlet.sleep(RECOVERY_CHECK_SECONDS)
+            recovered = [group for group in pending if not self._reachability.is_unreachable(group)]
+            for group in recovered:
+                self._retry_group(request, group)
+            if recovered:
+                verdict = Verdict.GRANTED if request.missing_tokens <= 0 else self._decide(request)
         return verdict
 
     def _is_brief_outage(self, group: int) -> bool:
-        return self._reach.unreachable_seconds(group) < BRIEF_OUTAGE_SECONDS
+        return self._reachability.unreachable_seconds(group) < BRIEF_OUTAGE_SECONDS
 
-    def _ask_again(self, request: BudgetRequest, group: int) -> None:
+    def _retry_group(self, request: BudgetRequest, group: int) -> None:
         request.unreachable.remove(group)
-        if request.missing <= 0:
+        if request.missing_tokens <= 0:
             return
         try:
-            self._claim(request, group)
+            self._claim_from(request, group)
         except NoQuorumError as error:
             self._note_failed(request, group, error)
 
-    def _may_ask(self, request: BudgetRequest, group: int) -> bool:
-        """Return whether a group may grant by what is known of the common one."""
-        if group == request.common or request.common in request.held:
+    def _may_claim(self, request: BudgetRequest, group: int) -> bool:
+        """Return whether a group may grant, given when the common group last answered."""
+        if group == request.common_group or request.common_group in request.states:
             return True
-        return self._reach.seconds_since_answer(request.common) < ALONE_SECONDS
+        return self._reachability.seconds_since_answer(request.common_group) < ZONE_ONLY_SECONDS
 
     def _note_failed(self, request: BudgetRequest, group: int, error: NoQuorumError) -> None:
         request.unreachable.append(group)
         request.failure = str(error)
         if self._zones.part_count:
-            self._reach.note_failed(group)
+            self._reachability.note_failed(group)
 
-    def _claim(self, request: BudgetRequest, group: int) -> None:
-        """Write what is still missing to a group; take in what else there is of the program.
+    def _claim_from(self, request: BudgetRequest, group: int) -> None:
+        """Claim the missing tokens from a group, and add the group's state to the request.
 
-        :raises NoQuorumError: if the group does not answer in time.
+        :raises NoQuorumError: If the group does not answer in time.
         """
-        wanted = request.wanted
-        missing = request.missing
-        # Also a write without an answer may have arrived.
-        request.asked[group] = missing
-        record = self._record(group, wanted, ClaimState.RESERVED, missing)
-        reading = self._client.reserve(group, record, timeout=self._wait_s(group, request))
-        held = group_state(_others(reading, wanted), reading.note)
-        if not (reading.is_sure and held.is_settled):
-            held = self._look(request, group, held)
-        self._reach.note_reached(group)
-        request.take(group, held)
-
-    def _look(self, request: BudgetRequest, group: int, before: GroupState) -> GroupState:
-        """Return what a group holds of a program now.
-
-        :raises NoQuorumError: if the group does not answer in time.
+        claim = request.claim
+        missing_tokens = request.missing_tokens
+        # Note the claim before writing: a write without an answer may still have arrived.
+        request.claimed[group] = missing_tokens
+        record = self._record(group, claim, ClaimState.RESERVED, missing_tokens)
+        reading = self._client.reserve(group, record, timeout=self._timeout_s(group, request))
+        state = group_state(_others(reading, claim), reading.note)
+        if not (reading.is_sure and state.is_settled):
+            state = self._read(request, group, state)
+        self._reachability.note_answered(group)
+        request.add_state(group, state)
+
+    def _read(self, request: BudgetRequest, group: int, previous: GroupState) -> GroupState:
+        """Read a group's current claims of a program.
+
+        :raises NoQuorumError: If the group does not answer in time.
         """
-        wanted = request.wanted
-        wait_s = self._wait_s(group, request)
-        reading = self._client.read_amounts(group, wanted.program_id, timeout=wait_s)
-        # A reservation that was met while writing may not be complete yet.
-        amounts = merged(before.amounts, _others(reading, wanted))
+        claim = request.claim
+        timeout_s = self._timeout_s(group, request)
+        reading = self._client.read_amounts(group, claim.program_id, timeout=timeout_s)
+        # A claim seen while writing may not have reached its quorum yet, so keep it as well.
+        amounts = merged(previous.amounts, _others(reading, claim))
         return group_state(amounts, reading.note)
 
     def _decide(self, request: BudgetRequest) -> Verdict:
-        """Return what becomes of a turn that no group's part holds alone.
+        """Decide on a turn that could not get all its tokens right away.
 
-        Turns that come at once all see one another. If not all of them fit, those
-        behind in the order of keys give up at once, and the ones in front look again.
+        Concurrent turns all see one another's claims. If not all of them fit, those later in the
+        order of keys give up at once, and the earlier ones read the claims again.
         """
-        verdict = self._judge(request)
-        for _ in range(CONTENTION_LOOKS - 1):
+        verdict = self._evaluate(request)
+        for _ in range(CONTENTION_ATTEMPTS - 1):
             if verdict is not Verdict.CONTENDED:
                 return verdict
-            eventlet.sleep(CONTENTION_SECONDS)
-            self._look_again(request)
-            verdict = self._judge(request)
-        is_full = not holds_beside_all(request.readings, request.wanted.tokens)
+            eventlet.sleep(CONTENTION_INTERVAL_SECONDS)
+            self._read_again(request)
+            verdict = self._evaluate(request)
+        is_full = not holds_beside_all(request.readings, request.claim.tokens)
         if verdict is Verdict.CONTENDED and is_full and not request.unreachable:
             return Verdict.EXHAUSTED
         return verdict
 
     @staticmethod
-    def _judge(request: BudgetRequest) -> Verdict:
-        wanted = request.wanted
-        return judge(request.readings, wanted.key, wanted.tokens, request.unread)
+    def _evaluate(request: BudgetRequest) -> Verdict:
+        claim = request.claim
+        return judge(request.readings, claim.key, claim.tokens, request.unread_tokens)
 
-    def _look_again(self, request: BudgetRequest) -> None:
-        """Look at all parts once more."""
-        for group, held in list(request.held.items()):
+    def _read_again(self, request: BudgetRequest) -> None:
+        """Read the claims of all groups that answered again."""
+        for group, state in list(request.states.items()):
             try:
-                request.take(group, self._look(request, group, held))
+                request.add_state(group, self._read(request, group, state))
             except NoQuorumError as error:
-                request.drop(group)
+                request.drop_state(group)
                 self._note_failed(request, group, error)
 
-    def _wait_s(self, group: int, request: BudgetRequest) -> float:
-        """Return the seconds that a turn waits for a group."""
+    def _timeout_s(self, group: int, request: BudgetRequest) -> float:
+        """Return the timeout in seconds for an operation on a group."""
         own = self._zones.own
-        is_last_resort = own is None or (group == own and request.common not in request.held)
-        return OPERATION_SECONDS if is_last_resort else FALL_BACK_SECONDS
-
-    # What follows
-
-    def _granted(self, request: BudgetRequest) -> Reservation:
-        """Note what a granted turn takes; hand back what it has claimed beyond that."""
-        wanted = request.wanted
-        pieces = {}
-        is_divided = len(request.held) > 1
-        for group, taken in request.pieces.items():
-            if taken or group == request.common:
-                pieces[group] = taken
-            if is_divided or taken < request.asked[group]:
-                state = ClaimState.GRANTED if group in pieces else ClaimState.SETTLED
-                self._queues.add(group, self._record(group, wanted, state, taken))
-        for group in request.asked.keys() - request.held.keys():
-            self._queues.add(group, self._record(group, wanted, ClaimState.SETTLED, 0))
-        granted = sum(pieces.values())
-        return Reservation(wanted, pieces, granted, request.last_server, request.is_first)
+        is_last_resort = own is None or (
+            group == own and request.common_group not in request.states
+        )
+        return OPERATION_SECONDS if is_last_resort else FALLBACK_TIMEOUT_SECONDS
+
+    # Outcome
+
+    def _grant(self, request: BudgetRequest) -> Reservation:
+        """Return a granted turn's reservation, and release claims beyond it."""
+        claim = request.claim
+        tokens_by_group = {}
+        is_split = len(request.states) > 1
+        for group, taken in request.tokens_by_group.items():
+            if taken or group == request.common_group:
+                tokens_by_group[group] = taken
+            if is_split or taken < request.claimed[group]:
+                state = ClaimState.GRANTED if group in tokens_by_group else ClaimState.SETTLED
+                self._queues.add(group, self._record(group, claim, state, taken))
+        for group in request.claimed.keys() - request.states.keys():
+            self._queues.add(group, self._record(group, claim, ClaimState.SETTLED, 0))
+        granted = sum(tokens_by_group.values())
+        return Reservation(claim, tokens_by_group, granted, request.last_server, request.is_first)
 
     def _note_decided(self, request: BudgetRequest, budget: int, verdict: Verdict) -> None:
-        wanted = request.wanted
+        claim = request.claim
         is_granted = verdict in (Verdict.GRANTED, Verdict.SHORT)
         if is_granted or verdict is Verdict.EXHAUSTED:
             self._log.write(
                 decisions.BudgetDecided(
-                    wanted.attempt_id,
-                    wanted.program_name,
+                    claim.attempt_id,
+                    claim.program_name,
                     budget,
-                    request.used,
-                    wanted.tokens,
+                    request.used_tokens,
+                    claim.tokens,
                     is_granted,
                 )
             )
-        is_common_alone = not request.unreachable and list(request.asked) == [request.common]
-        if self._zones.part_count and not is_common_alone:
-            pieces = request.pieces
-            common_tokens = pieces.get(request.common, 0)
+        is_common_only = not request.unreachable and list(request.claimed) == [request.common_group]
+        if self._zones.part_count and not is_common_only:
+            tokens_by_group = request.tokens_by_group
+            common_tokens = tokens_by_group.get(request.common_group, 0)
             self._log.write(
                 decisions.PartsAsked(
-                    wanted.attempt_id,
+                    claim.attempt_id,
                     verdict.name.lower(),
                     common_tokens,
-                    sum(pieces.values()) - common_tokens,
+                    sum(tokens_by_group.values()) - common_tokens,
                     request.unreachable,
-                    request.common in request.unreachable,
+                    request.common_group in request.unreachable,
                 )
             )
 
 
-def _uncertainty(unreachable: Sequence[int]) -> str:
-    """Return why a turn was neither granted nor refused for good."""
+def _uncertainty_reason(unreachable: Sequence[int]) -> str:
+    """Return why a turn was neither granted nor refused."""
     if not unreachable:
         return "turns of the program that came at once are undecided"
     return f"out of reach: {', '.join(str(group) for group in unreachable)}"
 
 
-def _others(reading: OwnerReading, wanted: TokenClaim) -> dict[str, Amount]:
-    """Return what counts beside a claim."""
-    own = {wanted.key, *wanted.given_up}
+def _others(reading: OwnerReading, claim: TokenClaim) -> dict[str, Amount]:
+    """Return the other claims of the program."""
+    own = {claim.key, *claim.withdrawn_keys}
     return {key: amount for key, amount in reading.amounts.items() if key not in own}
--- a/yarrowwall/budgets/settlements.py
+++ b/yarrowwall/budgets/settlements.py
@@ -9,12 +9,12 @@
 from yarrowwall.replication.quorum_client import QuorumClient
 
 #: Seconds that settlements are collected before they are written together.
-SETTLE_SECONDS = 0.03
+BATCH_SECONDS = 0.03
 #: Seconds before a settlement that found no quorum is written again.
-SETTLE_RETRY_SECONDS = 0.25
+RETRY_SECONDS = 0.25
 #: Most records of one write: after a cut there may be thousands, and a replica that writes them
 #: all at once holds turns up meanwhile.
-MOST_RECORDS = 256
+MAX_BATCH_RECORDS = 256
 
 
 class _GroupQueue:
@@ -23,10 +23,10 @@
     Groups have queues of their own, so that one out of reach holds up no other.
     """
 
-    def __init__(self, group: int, client: QuorumClient, reach: GroupReachability) -> None:
+    def __init__(self, group: int, client: QuorumClient, reachability: GroupReachability) -> None:
         self._group = group
         self._client = client
-        self._reach = reach
+        self._reachability = reachability
         self._waiting: list[StoredRecord] = []
         self._is_writing = False
         self._wakeup = Event()
@@ -48,17 +48,20 @@
             while not self._waiting:
                 self._wakeup.wait()
                 self._wakeup = Event()
-            eventlet.sleep(SETTLE_SECONDS)
-            if self._reach.is_unreachable(self._group):
-                eventlet.sleep(SETTLE_RETRY_SECONDS)
+            eventlet.sleep(BATCH_SECONDS)
+            if self._reachability.is_unreachable(self._group):
+                eventlet.sleep(RETRY_SECONDS)
                 continue
-            batch, self._waiting = self._waiting[:MOST_RECORDS], self._waiting[MOST_RECORDS:]
+            batch, self._waiting = (
+                self._waiting[:MAX_BATCH_RECORDS],
+                self._waiting[MAX_BATCH_RECORDS:],
+            )
             self._is_writing = True
             try:
                 self._client.write(self._group, batch)
             except NoQuorumError:
                 self._waiting = batch + self._waiting
-                eventlet.sleep(SETTLE_RETRY_SECONDS)
+                eventlet.sleep(RETRY_SECONDS)
             finally:
                 self._is_writing = False
 
@@ -66,9 +69,9 @@
 class SettlementQueues:
     """Records that wait to be written, by group."""
 
-    def __init__(self, client: QuorumClient, reach: GroupReachability) -> None:
+    def __init__(self, client: QuorumClient, reachability: GroupReachability) -> None:
         self._client = client
-        self._reach = reach
+        self._reachability = reachability
         self._queues: dict[int, _GroupQueue] = {}
 
     @property
@@ -80,5 +83,5 @@
         """Queue a record for a group."""
         queue = self._queues.get(group)
         if queue is None:
-            queue = self._queues[group] = _GroupQueue(group, self._client, self._reach)
+            queue = self._queues[group] = _GroupQueue(group, self._client, self._reachability)
         queue.add(record)
--- a/yarrowwall/budgets/turn_copier.py
+++ b/yarrowwall/budgets/turn_copier.py
@@ -24,14 +24,14 @@
 #: Seconds before a copy that found no quorum is tried again.
 RETRY_SECONDS = 0.5
 #: Bytes of turns that wait to be copied; those least asked for beyond that stay where they are.
-MOST_BYTES = 16 * 1024 * 1024
+MAX_QUEUED_BYTES = 16 * 1024 * 1024
 
 
-class _Waiting(NamedTuple):
+class _QueuedTurn(NamedTuple):
     """A turn that is to be copied."""
 
     turn: Turn
-    retention: float
+    retention_s: float
 
     @property
     def size(self) -> int:
@@ -46,64 +46,64 @@
         self,
         client: QuorumClient,
         group_of: Callable[[str], int],
-        reach: GroupReachability,
+        reachability: GroupReachability,
         log: DecisionLog,
     ) -> None:
         self._client = client
         self._group_of = group_of
-        self._reach = reach
+        self._reachability = reachability
         self._log = log
-        self._waiting: OrderedDict[str, _Waiting] = OrderedDict()
-        self._bytes = 0
+        self._queue: OrderedDict[str, _QueuedTurn] = OrderedDict()
+        self._queued_bytes = 0
         self._is_running = False
 
-    def add(self, turns: list[Turn], retention: float, is_needed: bool) -> None:
+    def add(self, turns: list[Turn], retention_s: float, is_urgent: bool) -> None:
         """Queue turns.
 
-        :param is_needed: whether a caller goes on from them now; such ones are copied first.
+        :param is_urgent: whether a caller goes on from them now; such ones are copied first.
         """
         for turn in turns:
-            self._put(_Waiting(turn, retention), is_needed)
+            self._put(_QueuedTurn(turn, retention_s), is_urgent)
         if not self._is_running:
             self._is_running = True
             eventlet.spawn_n(self._run)
 
-    def _put(self, waiting: _Waiting, is_needed: bool) -> None:
-        key = waiting.turn.attempt_id
-        if key not in self._waiting:
-            self._bytes += waiting.size
-        self._waiting[key] = waiting
-        if is_needed:
-            self._waiting.move_to_end(key, last=False)
-        while self._bytes > MOST_BYTES:
-            _, dropped = self._waiting.popitem()
-            self._bytes -= dropped.size
+    def _put(self, queued: _QueuedTurn, is_urgent: bool) -> None:
+        key = queued.turn.attempt_id
+        if key not in self._queue:
+            self._queued_bytes += queued.size
+        self._queue[key] = queued
+        if is_urgent:
+            self._queue.move_to_end(key, last=False)
+        while self._queued_bytes > MAX_QUEUED_BYTES:
+            _, dropped = self._queue.popitem()
+            self._queued_bytes -= dropped.size
 
     def _run(self) -> None:
-        while self._waiting:
+        while self._queue:
             is_copied = self._copy_next()
             eventlet.sleep(PAUSE_SECONDS if is_copied else RETRY_SECONDS)
         self._is_running = False
 
     def _copy_next(self) -> bool:
         """Copy the first turn whose group is in reach; return whether that went."""
-        for key, waiting in self._waiting.items():
+        for key, queued in self._queue.items():
             try:
                 group = self._group_of(turn_key(key))
             except StoreUncertainError:
                 return False
-            if not self._reach.is_unreachable(group):
-                return self._copy(group, key, waiting)
+            if not self._reachability.is_unreachable(group):
+                return self._copy(group, key, queued)
         return False
 
-    def _copy(self, group: int, key: str, waiting: _Waiting) -> bool:
+    def _copy(self, group: int, key: str, queued: _QueuedTurn) -> bool:
         try:
-            self._client.write(group, [turn_record(waiting.turn, waiting.retention)])
+            self._client.write(group, [turn_record(queued.turn, queued.retention_s)])
         except NoQuorumError:
-            self._reach.note_failed(group)
+            self._reachability.note_failed(group)
             return False
         self._log.write(decisions.TurnCopied(key, group))
         # It may have been dropped meanwhile.
-        if self._waiting.pop(key, None) is not None:
-            self._bytes -= waiting.size
+        if self._queue.pop(key, None) is not None:
+            self._queued_bytes -= queued.size
         return True
--- a/yarrowwall/budgets/turn_reservations.py
+++ b/yarrowwall/budgets/turn_reservations.py
@@ -14,14 +14,14 @@
     def __init__(self, first: Reservation) -> None:
         self._reserved = [first]
         #: Keys of further claims that were not granted.
-        self._given_up: set[str] = set()
+        self._withdrawn_keys: set[str] = set()
         #: Whether the budget was found not to hold all that the turn lacks.
-        self.is_rest_refused = False
+        self.is_remainder_refused = False
 
     @property
-    def wanted(self) -> TokenClaim:
+    def first_claim(self) -> TokenClaim:
         """Return what the turn wants at most."""
-        return self._reserved[0].wanted
+        return self._reserved[0].claim
 
     @property
     def granted(self) -> int:
@@ -31,26 +31,26 @@
     @property
     def is_short(self) -> bool:
         """Return whether the turn holds less than the most that it may emit."""
-        return self.granted < self.wanted.tokens
+        return self.granted < self.first_claim.tokens
 
     @property
-    def lacked(self) -> int:
+    def missing_tokens(self) -> int:
         """Return the tokens that the turn may emit and does not hold."""
-        return self.wanted.tokens - self.granted
+        return self.first_claim.tokens - self.granted
 
     def next_claim(self, tokens: int) -> TokenClaim:
         """Return a new claim of some of what the turn lacks."""
-        number = len(self._given_up) + len(self._reserved)
-        claim = further_claim(self.wanted, tokens, number, self._given_up)
-        self._given_up.add(claim.key)
+        number = len(self._withdrawn_keys) + len(self._reserved)
+        claim = further_claim(self.first_claim, tokens, number, self._withdrawn_keys)
+        self._withdrawn_keys.add(claim.key)
         return claim
 
     def add(self, reserved: Reservation) -> None:
         """Take in one more reservation."""
-        self._given_up.discard(reserved.wanted.key)
+        self._withdrawn_keys.discard(reserved.claim.key)
         self._reserved.append(reserved)
 
-    def spread(self, tokens: int) -> Iterator[tuple[Reservation, int]]:
+    def allocate_spent(self, tokens: int) -> Iterator[tuple[Reservation, int]]:
         """Return how much of each reservation was spent; the rest is handed back.
 
         What was emitted beyond all of them counts at the first: no token goes uncounted.
--- a/yarrowwall/budgets/turns.py
+++ b/yarrowwall/budgets/turns.py
@@ -41,13 +41,13 @@
     return _KEY_PREFIX + attempt_id if attempt_id else ""
 
 
-def turn_record(turn: Turn, retention: float) -> StoredRecord:
+def turn_record(turn: Turn, retention_s: float) -> StoredRecord:
     """Return the record of a turn.
 
     :param retention: seconds that it is kept.
     """
     key, link = turn_key(turn.attempt_id), turn_key(turn.previous)
-    return StoredRecord(key, _VERSION, "", link, retention, 0, turn.value())
+    return StoredRecord(key, _VERSION, "", link, retention_s, 0, turn.value())
 
 
 def read_turn(key: str, link: str, value: bytes) -> Turn:
@@ -75,8 +75,8 @@
 class TurnCache:
     """The turns that a gateway used last. A turn never changes, so any copy is good."""
 
-    def __init__(self, most_bytes: int = CACHE_BYTES) -> None:
-        self._most_bytes = most_bytes
+    def __init__(self, max_bytes: int = CACHE_BYTES) -> None:
+        self._max_bytes = max_bytes
         self._bytes = 0
         self._turns: OrderedDict[str, Turn] = OrderedDict()
 
@@ -87,7 +87,7 @@
             return
         self._turns[turn.attempt_id] = turn
         self._bytes += len(turn.body) + len(turn.output)
-        while self._bytes > self._most_bytes:
+        while self._bytes > self._max_bytes:
             _, oldest = self._turns.popitem(last=False)
             self._bytes -= len(oldest.body) + len(oldest.output)
 
--- a/yarrowwall/budgets/zone_groups.py
+++ b/yarrowwall/budgets/zone_groups.py
@@ -31,12 +31,12 @@
         """Return how many zones have a group of their own."""
         return len(self._views.zone_groups())
 
-    def common_first(self, common: int) -> Iterator[int]:
+    def common_first(self, common_group: int) -> Iterator[int]:
         """Return a common group and then all zones', the own one first, as far as they are asked.
 
         Most requests end at the common group and need no order of the others.
         """
-        yield common
+        yield common_group
         yield from self.own_first
 
     @property
--- a/yarrowwall/ports/programs.py
+++ b/yarrowwall/ports/programs.py
@@ -33,13 +33,13 @@
         self.is_first = is_first
         self.is_continued = is_continued
 
-    def ensure_granted(self, passed: list[Event]) -> None:
+    def ensure_granted(self, relayed: list[Event]) -> None:
         """Refuse events beyond what was granted, before they are passed on.
 
         :raises StoreUncertainError: if they exceed it.
         """
 
-    def complete(self, passed: list[Event], server_id: str) -> None:
+    def complete(self, relayed: list[Event], server_id: str) -> None:
         """Store what must last before the end of the answer is passed on.
 
         It may take as long as the request has time left, for an answer that has begun can only be
@@ -49,7 +49,7 @@
         :raises StoreUncertainError: if that cannot be done in that time.
         """
 
-    def close(self, passed: list[Event], server_id: str) -> None:
+    def close(self, relayed: list[Event], server_id: str) -> None:
         """Settle the turn, however it ended."""
 
 
@@ -65,7 +65,7 @@
         """Return for how many seconds no turn could be granted; 0 if the last one could."""
 
     def open_turn(
-        self, attempt: Attempt, route: Route, tokens_per_event: int, end: Callable[[], float]
+        self, attempt: Attempt, route: Route, tokens_per_event: int, deadline: Callable[[], float]
     ) -> TurnGrant:
         """Return the leave to run a turn.
 
