--- a/features/steps/spent_budget_steps.py
+++ b/features/steps/spent_budget_steps.py
@@ -278,7 +278,7 @@
 
 @then("no more than {budget:d} tokens are granted to both")
 def granted_at_most(context: Context, budget: int) -> None:
-    held = context.grant._held.granted + context.held_by_other
+    held = context.grant._turn_reservations.granted + context.held_by_other
     assert held <= budget, held
 
 
--- a/yarrowwall/budgets/ledger.py
+++ b/yarrowwall/budgets/ledger.py
@@ -1,4 +1,4 @@
-"""Budgets and turns in the replicated record store, as a gateway's requests use them."""
+"""Grants turns to a gateway's requests from the replicated record store."""
 
 import contextlib
 from collections.abc import Callable
@@ -23,34 +23,34 @@
 from yarrowwall.replication.group_views import GroupViews
 from yarrowwall.replication.quorum_client import OPERATION_SECONDS, QuorumClient
 
-#: Seconds without a quorum after which the store counts as out of reach.
+#: Seconds without a quorum after which the store counts as unreachable.
 UNREACHABLE_SECONDS = 0.8
-#: Seconds without a turn after which a group is asked whether it answers: a gateway grants from
-#: its zone's part alone only if it knows since when the common group is silent. A quarter of
-#: what it may then go on for; a gateway with a turn every few seconds asks nothing.
+#: Seconds without an answer after which a group is checked. A gateway grants from its zone's part
+#: alone only if it knows when the common group last answered. This is a quarter of the time for
+#: which it may do so. A gateway with a turn every few seconds sends no checks.
 IDLE_CHECK_SECONDS = 15.0
-#: The same while some operations fail, for readiness hangs on the answer. Groups that turns reach
-#: are not asked, so a gateway beside a cut asks hardly anything.
+#: The same while operations fail, since readiness depends on the answer. Groups that answer turns
+#: are not checked, so a gateway next to a partition sends hardly any checks.
 FAILING_CHECK_SECONDS = 1.0
-#: Seconds before a turn that was granted less than its most asks the same groups again.
+#: Seconds before a turn that was granted too few tokens asks the same groups again.
 RESERVE_RETRY_SECONDS = 1.0
-#: Seconds between its looks whether more groups are in reach.
+#: Seconds between its checks whether more groups are reachable.
 REACHABILITY_POLL_SECONDS = 0.05
-#: Seconds that the question whether a group answers may take, if turns fall back on others.
+#: Timeout in seconds for checking a group if turns can fall back on other groups.
 PROBE_TIMEOUT_SECONDS = 0.3
 
 
 def _tenant_scoped(tenant: str, name: str) -> str:
-    """Return a name that callers chose as one of its tenant's alone."""
-    # No caller can make up another tenant's name: the length in front tells where it ends.
+    """Return a name chosen by callers, qualified by its tenant."""
+    # The length prefix marks the end of the tenant, so no caller can forge another tenant's name.
     return f"{len(tenant)}:{tenant}:{name}" if tenant and name else name
 
 
 class ReplicatedLedger:
-    """Grants turns by what the record store holds.
+    """Grants turns based on the budgets and turns in the record store.
 
-    :param zone: the gateway's own zone.
-    :param now: the monotonic clock.
+    :param zone: The gateway's zone.
+    :param now: Returns the monotonic time in seconds.
     """
 
     def __init__(
@@ -83,10 +83,10 @@
 
     @property
     def is_reachable(self) -> bool:
-        """Return whether operations find their quorum, or did a moment ago.
+        """Return whether some group can be reached.
 
-        A gateway whose zone is cut off serves from its zone's part, and its callers have no
-        better one.
+        A gateway whose zone is cut off counts as reachable, since it serves from its zone's part
+        and its callers can reach no better one.
         """
         if self._client.failing_seconds < UNREACHABLE_SECONDS:
             return True
@@ -95,11 +95,11 @@
 
     @property
     def unreachable_s(self) -> float:
-        """Return for how many seconds no operation has found its quorum."""
+        """Return the seconds for which no operation has found a quorum."""
         return self._client.failing_seconds
 
     def probe(self) -> None:
-        """If operations fail, find out whether they still do."""
+        """Check groups that have not answered for some time."""
         if self._zones.part_count:
             self._probe_groups()
         elif self._client.failing_seconds and self._views.count:
@@ -107,7 +107,7 @@
                 self._check_group(0)
 
     def _probe_groups(self) -> None:
-        """Keep the proofs that service from the zone's part and readiness depend on."""
+        """Refresh the answer times that readiness and grants from the zone's part depend on."""
         is_failing = self._client.failing_seconds > 0.0
         max_idle_s = FAILING_CHECK_SECONDS if is_failing else IDLE_CHECK_SECONDS
         groups = list(range(self._views.count))
@@ -118,24 +118,24 @@
             if self._reachability.seconds_since_answer(group) > max_idle_s:
                 self._reachability.check(group)
 
-    def _check_others(self, out: int) -> None:
-        """Ask all other groups at once: what cut one off may have cut others off."""
+    def _check_others(self, unreachable_group: int) -> None:
+        """Check all other groups at once, since the same fault may have cut them off too."""
         for group in [*range(self._views.count), *self._zones.own_first]:
-            if group != out:
+            if group != unreachable_group:
                 eventlet.spawn_n(self._reachability.check, group)
 
     def _check_group(self, group: int) -> None:
-        """Ask whether a group can be read and written.
+        """Check that a group can be read and written.
 
-        :raises NoQuorumError: if it can not.
+        :raises NoQuorumError: If it cannot.
         """
         timeout_s = PROBE_TIMEOUT_SECONDS if self._zones.part_count else OPERATION_SECONDS
         self._client.check(group, timeout_s)
 
     def group_of(self, key: str) -> int:
-        """Return the common group that keeps a key.
+        """Return the common group responsible for a key.
 
-        :raises StoreUncertainError: if no group is known yet.
+        :raises StoreUncertainError: If no group is known yet.
         """
         group = self._views.group_of(key)
         if group is None:
@@ -145,24 +145,24 @@
     def open_turn(
         self, attempt: Attempt, route: Route, tokens_per_event: int, deadline: Callable[[], float]
     ) -> TurnGrant:
-        """Return the leave to run a turn.
+        """Return the grant to run a turn.
 
-        :raises BudgetExhaustedError: if the budget does not hold it.
-        :raises TurnUnknownError: if the turn it goes on from is surely unknown.
-        :raises StoreUncertainError: if the store cannot tell now.
+        :raises BudgetExhaustedError: If too few tokens of the budget are left.
+        :raises TurnUnknownError: If the previous turn certainly does not exist.
+        :raises StoreUncertainError: If the store cannot decide now.
         """
         body = attempt.body
         program = attempt.program
         if route.is_stateful and program is not None:
             self._turns.check_storable(_tenant_scoped(attempt.tenant, attempt.attempt_id))
             body = self._prompt_body(attempt, program, route)
-        reserved = None
+        reservation = None
         if program is not None and program.budget is not None:
-            reserved = self._reserve(attempt, program, program.budget, route)
-        return LedgerGrant(self, attempt, route, body, reserved, tokens_per_event, deadline)
+            reservation = self._reserve(attempt, program, program.budget, route)
+        return LedgerGrant(self, attempt, route, body, reservation, tokens_per_event, deadline)
 
     def _prompt_body(self, attempt: Attempt, program: ProgramContext, route: Route) -> bytes:
-        """Return what the server is to get: all earlier turns and the new input."""
+        """Return the request body for the server: all earlier turns and the new input."""
         if not program.previous_turn:
             return attempt.body
         previous = _tenant_scoped(attempt.tenant, program.previous_turn)
@@ -172,9 +172,10 @@
     def _reserve(
         self, attempt: Attempt, program: ProgramContext, budget: int, route: Route
     ) -> Reservation:
-        """Return a granted reservation.
+        """Reserve the most tokens that a turn may emit.
 
-        :raises BudgetExhaustedError: if the budget does not hold it.
+        :raises BudgetExhaustedError: If too few tokens of the budget are left.
+        :raises StoreUncertainError: If too few groups could be asked.
         """
         program_id = _tenant_scoped(attempt.tenant, program.program_id)
         common_group = self.group_of(program_id)
@@ -182,97 +183,109 @@
         return self._reservations.reserve(claim, budget)
 
     def reserve_more(
-        self, held: TurnReservations, budget: int, needed: int, deadline: Callable[[], float]
+        self,
+        turn_reservations: TurnReservations,
+        budget: int,
+        needed: int,
+        deadline: Callable[[], float],
     ) -> None:
-        """Reserve what a turn lacks; ask again once more groups are in reach.
+        """Reserve a turn's missing tokens, and retry when more groups are reachable.
 
-        :param needed: tokens that it needs at once.
-        :param end: tells when the request's time is over, on the monotonic clock.
-        :raises StoreUncertainError: if none grants any in that time, or the budget is used up.
+        :param needed: Tokens that it needs immediately.
+        :param deadline: Returns the monotonic time at which the request's time is over.
+        :raises StoreUncertainError: If no group grants any in time, or the budget is exhausted.
         """
         while True:
-            reachable = self._reachable_groups(held.first_claim.common_group)
+            reachable = self._reachable_groups(turn_reservations.first_claim.common_group)
             try:
-                held.add(self._reserve_rest(held, budget, needed))
+                turn_reservations.add(self._reserve_remainder(turn_reservations, budget, needed))
                 return
             except (BudgetExhaustedError, StoreUncertainError) as error:
-                reason = f"{held.granted} tokens were granted; {error}"
+                reason = f"{turn_reservations.granted} tokens were granted; {error}"
                 if isinstance(error, BudgetExhaustedError) or not self._wait_to_retry(
-                    held, reachable, deadline
+                    turn_reservations, reachable, deadline
                 ):
                     raise StoreUncertainError(reason) from error
 
-    def _reserve_rest(self, held: TurnReservations, budget: int, needed: int) -> Reservation:
-        """Reserve all that a turn lacks, or what it needs at once if no more is to be had.
+    def _reserve_remainder(
+        self, turn_reservations: TurnReservations, budget: int, needed: int
+    ) -> Reservation:
+        """Reserve all missing tokens of a turn, or else only those that it needs immediately.
 
-        :raises BudgetExhaustedError: if the budget does not hold that either.
-        :raises StoreUncertainError: if too few groups could be asked.
+        :raises BudgetExhaustedError: If the budget is too small for those as well.
+        :raises StoreUncertainError: If too few groups could be asked.
         """
-        if not held.is_remainder_refused:
+        if not turn_reservations.is_remainder_refused:
             try:
-                return self._reservations.reserve(held.next_claim(held.missing_tokens), budget)
+                return self._reservations.reserve(
+                    turn_reservations.next_claim(turn_reservations.missing_tokens), budget
+                )
             except BudgetExhaustedError:
-                held.is_remainder_refused = True
+                turn_reservations.is_remainder_refused = True
             except StoreUncertainError:
-                # The groups in reach may hold what it needs at once all the same.
+                # The reachable groups may still hold the tokens that it needs immediately.
                 pass
-        return self._reservations.reserve(held.next_claim(needed), budget)
+        return self._reservations.reserve(turn_reservations.next_claim(needed), budget)
 
     def _wait_to_retry(
-        self, held: TurnReservations, tried: set[int], deadline: Callable[[], float]
+        self, turn_reservations: TurnReservations, tried: set[int], deadline: Callable[[], float]
     ) -> bool:
-        """Wait until a turn may ask again; return False once its time is over.
+        """Wait until a further claim may succeed; return False once the deadline has passed.
 
-        Each claim that is given up leaves a record, so it asks only if that may help.
+        Each withdrawn claim leaves a record, so claims are made only if they may help.
         """
-        # One that fell out of reach under the claim is worth asking once it is back.
-        tried = tried & self._reachable_groups(held.first_claim.common_group)
-        again_at = self._now() + RESERVE_RETRY_SECONDS
+        # A group that became unreachable during the claim may be asked again once it recovers.
+        tried = tried & self._reachable_groups(turn_reservations.first_claim.common_group)
+        retry_at = self._now() + RESERVE_RETRY_SECONDS
         while self._now() < deadline() - END_MARGIN_SECONDS:
             if (
-                self._now() >= again_at
-                or self._reachable_groups(held.first_claim.common_group) - tried
+                self._now() >= retry_at
+                or self._reachable_groups(turn_reservations.first_claim.common_group) - tried
             ):
                 return True
             eventlet.sleep(REACHABILITY_POLL_SECONDS)
         return False
 
     def _reachable_groups(self, common_group: int) -> set[int]:
-        """Return the groups that a turn may ask now."""
+        """Return the reachable ones of the groups that a turn may claim from."""
         groups = self._zones.common_first(common_group)
         return {group for group in groups if not self._reachability.is_unreachable(group)}
 
-    def settle(self, held: TurnReservations, tokens: int, server_id: str) -> None:
-        """Replace a turn's reservations by what was emitted, soon."""
-        for reserved, spent in held.allocate_spent(tokens):
-            self._reservations.settle(reserved, spent, server_id)
-        claim = held.first_claim
+    def settle(self, turn_reservations: TurnReservations, tokens: int, server_id: str) -> None:
+        """Queue the records that settle a turn's reservations at the emitted tokens."""
+        for reservation, spent in turn_reservations.allocate_spent(tokens):
+            self._reservations.settle(reservation, spent, server_id)
+        claim = turn_reservations.first_claim
         self._log.write(decisions.BudgetSettled(claim.attempt_id, claim.program_id, tokens))
 
     def store_turn(
         self,
         turn: Turn,
         route: Route,
-        held: TurnReservations | None,
+        turn_reservations: TurnReservations | None,
         tokens: int,
         server_id: str,
         deadline: Callable[[], float],
     ) -> None:
         """Store a turn and the settlement of its reservations, if it has any.
 
-        :param end: tells when the request's time is over, on the monotonic clock.
-        :raises StoreUncertainError: if no quorum took it in time.
+        :param deadline: Returns the monotonic time at which the request's time is over.
+        :raises StoreUncertainError: If no quorum stored it in time.
         """
         settlement_records: list[PlacedRecord] = []
-        for reserved, spent in held.allocate_spent(tokens) if held is not None else ():
-            settlement_records += self._reservations.settlement_records(reserved, spent, server_id)
+        for reservation, spent in (
+            turn_reservations.allocate_spent(tokens) if turn_reservations is not None else ()
+        ):
+            settlement_records += self._reservations.settlement_records(
+                reservation, spent, server_id
+            )
         self._turns.store(turn, route.retention_s, settlement_records, deadline)
 
 
 class LedgerGrant(TurnGrant):
-    """The leave to run one turn, with what is to be stored behind it.
+    """A grant to run one turn, which stores and settles the turn afterwards.
 
-    :param end: tells when the request's time is over, on the monotonic clock.
+    :param deadline: Returns the monotonic time at which the request's time is over.
     """
 
     def __init__(
@@ -281,42 +294,42 @@
         attempt: Attempt,
         route: Route,
         body: bytes,
-        reserved: Reservation | None,
+        reservation: Reservation | None,
         tokens_per_event: int,
         deadline: Callable[[], float],
     ) -> None:
         program = attempt.program
         is_continued = route.is_stateful and program is not None and bool(program.previous_turn)
-        if reserved is not None:
-            super().__init__(body, reserved.last_server, reserved.is_first, is_continued)
+        if reservation is not None:
+            super().__init__(body, reservation.last_server, reservation.is_first, is_continued)
         else:
             super().__init__(body, is_continued=is_continued)
         self._ledger = ledger
         self._attempt = attempt
         self._route = route
-        self._held = TurnReservations(reserved) if reserved is not None else None
+        self._turn_reservations = TurnReservations(reservation) if reservation is not None else None
         self._tokens_per_event = tokens_per_event
         self._deadline = deadline
         self._is_settled = False
 
-    def ensure_granted(self, relayed: list[Event]) -> None:
-        """Reserve what events take beyond what was granted, before they are passed on.
+    def ensure_granted(self, events: list[Event]) -> None:
+        """Reserve the tokens that events need beyond the grant, before they are relayed.
 
-        :raises StoreUncertainError: if less than the turn's most was granted, they exceed it, and
-            no group grants more while the request has time left.
+        :raises StoreUncertainError: If the turn was granted less than it may emit, the events
+            exceed that, and no group grants more before the deadline.
         """
-        held, program = self._held, self._attempt.program
-        if held is None or program is None or program.budget is None:
+        turn_reservations, program = self._turn_reservations, self._attempt.program
+        if turn_reservations is None or program is None or program.budget is None:
             return
-        tokens = len(relayed) * self._tokens_per_event
-        while held.is_short and tokens > held.granted:
-            needed = min(tokens, held.first_claim.tokens) - held.granted
-            self._ledger.reserve_more(held, program.budget, needed, self._deadline)
+        tokens = len(events) * self._tokens_per_event
+        while turn_reservations.is_short and tokens > turn_reservations.granted:
+            needed = min(tokens, turn_reservations.first_claim.tokens) - turn_reservations.granted
+            self._ledger.reserve_more(turn_reservations, program.budget, needed, self._deadline)
 
-    def complete(self, relayed: list[Event], server_id: str) -> None:
-        """Store the turn before the end of the answer is passed on.
+    def complete(self, events: list[Event], server_id: str) -> None:
+        """Store the turn before the end of the answer is relayed.
 
-        :raises StoreUncertainError: if that cannot be done.
+        :raises StoreUncertainError: If no quorum stored it in time.
         """
         program = self._attempt.program
         if not self._route.is_stateful or program is None:
@@ -326,24 +339,26 @@
             _tenant_scoped(tenant, self._attempt.attempt_id),
             _tenant_scoped(tenant, program.previous_turn or ""),
             self._attempt.body,
-            output_of(relayed),
+            output_of(events),
+        )
+        tokens = self._tokens(events)
+        self._ledger.store_turn(
+            turn, self._route, self._turn_reservations, tokens, server_id, self._deadline
         )
-        tokens = self._tokens(relayed)
-        self._ledger.store_turn(turn, self._route, self._held, tokens, server_id, self._deadline)
         self._is_settled = True
 
-    def close(self, relayed: list[Event], server_id: str) -> None:
-        """Settle the turn, however it ended."""
-        if self._held is not None and not self._is_settled:
+    def close(self, events: list[Event], server_id: str) -> None:
+        """Settle the turn, unless that is done already."""
+        if self._turn_reservations is not None and not self._is_settled:
             self._is_settled = True
-            self._ledger.settle(self._held, self._tokens(relayed), server_id)
-
-    def _tokens(self, relayed: list[Event]) -> int:
-        """Return the tokens that callers got."""
-        tokens = len(relayed) * self._tokens_per_event
-        held = self._held
-        if held is not None and held.is_short:
-            # What was beyond the grant was not passed on.
-            most = held.granted - held.granted % self._tokens_per_event
+            self._ledger.settle(self._turn_reservations, self._tokens(events), server_id)
+
+    def _tokens(self, events: list[Event]) -> int:
+        """Return the tokens that were relayed to the caller."""
+        tokens = len(events) * self._tokens_per_event
+        turn_reservations = self._turn_reservations
+        if turn_reservations is not None and turn_reservations.is_short:
+            # Events beyond the grant were not relayed.
+            most = turn_reservations.granted - turn_reservations.granted % self._tokens_per_event
             return min(tokens, most)
         return tokens
--- a/yarrowwall/budgets/turn_reservations.py
+++ b/yarrowwall/budgets/turn_reservations.py
@@ -1,4 +1,4 @@
-"""What one turn holds of its program's budget, by one claim or several. No I/O."""
+"""The tokens that one turn holds of its program's budget, by one or several claims. No I/O."""
 
 from collections.abc import Iterator
 
@@ -8,57 +8,57 @@
 class TurnReservations:
     """The reservations of one turn.
 
-    :param first: with which it began.
+    :param first: The reservation that it started with.
     """
 
     def __init__(self, first: Reservation) -> None:
-        self._reserved = [first]
+        self._reservations = [first]
         #: Keys of further claims that were not granted.
         self._withdrawn_keys: set[str] = set()
-        #: Whether the budget was found not to hold all that the turn lacks.
+        #: Whether a claim of all missing tokens was refused because the budget is exhausted.
         self.is_remainder_refused = False
 
     @property
     def first_claim(self) -> TokenClaim:
-        """Return what the turn wants at most."""
-        return self._reserved[0].claim
+        """Return the turn's first claim, which is for the most tokens that it may emit."""
+        return self._reservations[0].claim
 
     @property
     def granted(self) -> int:
         """Return the tokens of all reservations."""
-        return sum(one.granted for one in self._reserved)
+        return sum(reservation.granted for reservation in self._reservations)
 
     @property
     def is_short(self) -> bool:
-        """Return whether the turn holds less than the most that it may emit."""
+        """Return whether fewer tokens were granted than the turn may emit."""
         return self.granted < self.first_claim.tokens
 
     @property
     def missing_tokens(self) -> int:
-        """Return the tokens that the turn may emit and does not hold."""
+        """Return the tokens that the turn may emit and that were not granted."""
         return self.first_claim.tokens - self.granted
 
     def next_claim(self, tokens: int) -> TokenClaim:
-        """Return a new claim of some of what the turn lacks."""
-        number = len(self._withdrawn_keys) + len(self._reserved)
+        """Return a new claim for some of the missing tokens, withdrawn unless it is added."""
+        number = len(self._withdrawn_keys) + len(self._reservations)
         claim = further_claim(self.first_claim, tokens, number, self._withdrawn_keys)
         self._withdrawn_keys.add(claim.key)
         return claim
 
-    def add(self, reserved: Reservation) -> None:
-        """Take in one more reservation."""
-        self._withdrawn_keys.discard(reserved.claim.key)
-        self._reserved.append(reserved)
+    def add(self, reservation: Reservation) -> None:
+        """Add the granted reservation of a further claim."""
+        self._withdrawn_keys.discard(reservation.claim.key)
+        self._reservations.append(reservation)
 
     def allocate_spent(self, tokens: int) -> Iterator[tuple[Reservation, int]]:
-        """Return how much of each reservation was spent; the rest is handed back.
+        """Yield the tokens spent of each reservation.
 
-        What was emitted beyond all of them counts at the first: no token goes uncounted.
+        Tokens emitted beyond all reservations count towards the first, so that none is lost.
         """
-        left = max(0, tokens - self.granted)
-        tokens -= left
-        for one in self._reserved:
-            spent = min(tokens, one.granted)
+        excess = max(0, tokens - self.granted)
+        tokens -= excess
+        for reservation in self._reservations:
+            spent = min(tokens, reservation.granted)
             tokens -= spent
-            yield one, spent + left
-            left = 0
+            yield reservation, spent + excess
+            excess = 0
--- a/yarrowwall/ports/programs.py
+++ b/yarrowwall/ports/programs.py
@@ -1,8 +1,8 @@
 """Token budgets and conversations of programs, as a gateway uses them.
 
-Before a turn is sent, the most it may emit is reserved in the record store; after
-it, the reservation is settled to what was emitted. On stateful routes the turn's
-input and events are stored before the end of its answer is passed on.
+Before a turn is sent to a server, the most tokens that it may emit are reserved in the record
+store. Afterwards, the reservation is settled at the emitted tokens. On stateful routes, the turn's
+input and events are stored before the end of its answer is relayed.
 """
 
 from collections.abc import Callable
@@ -13,12 +13,12 @@
 
 
 class TurnGrant:
-    """The leave to run one turn; this one is for turns that nothing needs to be kept of.
+    """A grant to run one turn. This base class is for turns without any stored state.
 
-    :param body: what the server is to get.
-    :param last_server: where the program's turn before ran; empty if unknown.
-    :param is_first: whether no turn of the program has emitted anything before.
-    :param is_continued: whether it goes on from an answered turn, perhaps of another program.
+    :param body: The request body for the server.
+    :param last_server: The server of the program's previous turn; empty if unknown.
+    :param is_first: Whether no earlier turn of the program has emitted anything.
+    :param is_continued: Whether it continues an answered turn, possibly of another program.
     """
 
     def __init__(
@@ -33,24 +33,25 @@
         self.is_first = is_first
         self.is_continued = is_continued
 
-    def ensure_granted(self, relayed: list[Event]) -> None:
-        """Refuse events beyond what was granted, before they are passed on.
+    def ensure_granted(self, events: list[Event]) -> None:
+        """Ensure that events are within the granted tokens, before they are relayed.
 
-        :raises StoreUncertainError: if they exceed it.
+        :param events: All events of the answer so far.
+        :raises StoreUncertainError: If they exceed the grant and no more is granted in time.
         """
 
-    def complete(self, relayed: list[Event], server_id: str) -> None:
-        """Store what must last before the end of the answer is passed on.
+    def complete(self, events: list[Event], server_id: str) -> None:
+        """Store the turn durably before the end of the answer is relayed.
 
-        It may take as long as the request has time left, for an answer that has begun can only be
-        completed or cut.
+        This may take until the request's deadline, since an answer that has begun can only be
+        completed or aborted.
 
-        :param server_id: the incarnation of the server where the turn ran, as its text.
-        :raises StoreUncertainError: if that cannot be done in that time.
+        :param server_id: The incarnation of the server where the turn ran, as text.
+        :raises StoreUncertainError: If the turn cannot be stored in that time.
         """
 
-    def close(self, relayed: list[Event], server_id: str) -> None:
-        """Settle the turn, however it ended."""
+    def close(self, events: list[Event], server_id: str) -> None:
+        """Settle the turn after any outcome, at the tokens of the relayed events."""
 
 
 class ProgramLedger(Protocol):
@@ -58,20 +59,20 @@
 
     @property
     def is_reachable(self) -> bool:
-        """Return whether turns can be granted now, as far as known."""
+        """Return whether turns can probably be granted now."""
 
     @property
     def unreachable_s(self) -> float:
-        """Return for how many seconds no turn could be granted; 0 if the last one could."""
+        """Return the seconds for which no turn could be granted; 0 if the last one could."""
 
     def open_turn(
         self, attempt: Attempt, route: Route, tokens_per_event: int, deadline: Callable[[], float]
     ) -> TurnGrant:
-        """Return the leave to run a turn.
+        """Return the grant to run a turn.
 
-        :param end: tells when the request's time is over, on the monotonic clock; it may come to
-            have more.
-        :raises BudgetExhaustedError: if the budget does not hold it.
-        :raises TurnUnknownError: if the turn it goes on from is surely unknown.
-        :raises StoreUncertainError: if the store cannot tell now.
+        :param deadline: Returns the monotonic time at which the request's time is over, which may
+            be extended later.
+        :raises BudgetExhaustedError: If too few tokens of the budget are left.
+        :raises TurnUnknownError: If the previous turn certainly does not exist.
+        :raises StoreUncertainError: If the store cannot decide now.
         """
