--- a/yarrowwall/budgets/__init__.py
+++ b/yarrowwall/budgets/__init__.py
@@ -1,6 +1,6 @@
-"""Programs' token budgets and turns, kept at the record store.
+"""Programs' token budgets and turns, stored in the record store.
 
-Owns the state of each turn under way in a gateway: what it reserved, what it emitted, what is still
-to be settled. Relies on :mod:`yarrowwall.replication` for quorums; a gateway sees the interface
-in :mod:`yarrowwall.ports.programs` alone.
+Holds the state of each turn running in a gateway: what it reserved, what it emitted, and what is
+not settled yet. Uses :mod:`yarrowwall.replication` for quorum operations. A gateway uses only the
+interface in :mod:`yarrowwall.ports.programs`.
 """
--- a/yarrowwall/budgets/group_reachability.py
+++ b/yarrowwall/budgets/group_reachability.py
@@ -1,7 +1,7 @@
-"""Which groups of replicas are out of reach, and when they are back.
+"""Reachability of the groups of replicas.
 
-A turn must not wait for a group that was found silent a moment ago; callers pay for each
-wait. One greenthread for each such group asks whether it is back.
+A turn should not wait for a group that has just failed to answer, since that delays its caller. One
+greenthread for each unreachable group probes it until it answers again.
 """
 
 import math
@@ -13,18 +13,18 @@
 from yarrowwall.decisions import DecisionLog
 from yarrowwall.replication.exceptions import NoQuorumError
 
-#: Seconds between two questions whether a group is back. A question is one small read that waits
-#: for 0.3 s, so a gateway asks twice a second while the group is silent.
+#: Seconds between two probes of an unreachable group. A probe is one small read with a timeout of
+#: 0.3 s, so a gateway probes twice a second while the group does not answer.
 PROBE_INTERVAL_SECONDS = 0.2
-#: Seconds for which an answer proves that a group is in reach; housekeeping asks anew in less.
+#: Seconds for which a group counts as reachable after an answer. Housekeeping checks it sooner.
 RECENT_ANSWER_SECONDS = 2.0
 
 
 class GroupReachability:
-    """The groups that are out of reach.
+    """Tracks which groups are unreachable.
 
-    :param probe: asks a group for a quorum's answer; raises NoQuorumError if there is none.
-    :param now: the monotonic clock.
+    :param probe: Asks a group for a quorum's answer; raises NoQuorumError if there is none.
+    :param now: Returns the monotonic time in seconds.
     """
 
     def __init__(
@@ -36,19 +36,19 @@
         self._unreachable_since: dict[int, float] = {}
         self._answered_at: dict[int, float] = {}
         self._checking: set[int] = set()
-        #: Called with each group that fell out of reach.
+        #: Called with each group that becomes unreachable.
         self.on_unreachable: Callable[[int], None] = lambda group: None
 
     def is_unreachable(self, group: int) -> bool:
-        """Return whether a group was out of reach when it was asked last."""
+        """Return whether a group did not answer its last request."""
         return group in self._unreachable_since
 
     def unreachable_seconds(self, group: int) -> float:
-        """Return for how many seconds a group has been out of reach; 0 if it is not."""
+        """Return the seconds for which a group has been unreachable; 0 if it is reachable."""
         return self._now() - self._unreachable_since.get(group, self._now())
 
     def seconds_since_answer(self, group: int) -> float:
-        """Return the seconds since a quorum of a group was known to answer; endless if never."""
+        """Return the seconds since a quorum of a group last answered; infinite if never."""
         return self._now() - self._answered_at.get(group, -math.inf)
 
     def note_answered(self, group: int) -> None:
@@ -56,13 +56,13 @@
         self._answered_at[group] = self._now()
 
     def has_answered_recently(self, group: int | None) -> bool:
-        """Return whether a group answered when it was asked last, a moment ago at most."""
+        """Return whether a group answered its last request, and that recently."""
         if group is None or self.is_unreachable(group):
             return False
         return self.seconds_since_answer(group) < RECENT_ANSWER_SECONDS
 
     def check(self, group: int) -> None:
-        """Ask a group now, unless that is being done."""
+        """Probe a group now, unless it is being probed already."""
         if group in self._unreachable_since or group in self._checking:
             return
         self._checking.add(group)
@@ -76,7 +76,7 @@
             self._checking.discard(group)
 
     def note_failed(self, group: int) -> None:
-        """Note that a group did not answer in time; begin to ask whether it is back."""
+        """Note that a group did not answer in time, and start probing it."""
         if group in self._unreachable_since:
             return
         self._unreachable_since[group] = self._now()
--- a/yarrowwall/budgets/ledger.py
+++ b/yarrowwall/budgets/ledger.py
@@ -90,7 +90,7 @@
         """
         if self._client.failing_seconds < UNREACHABLE_SECONDS:
             return True
-        groups = [*range(self._views.count), self._zones.own]
+        groups = [*range(self._views.count), self._zones.own_group]
         return any(self._reachability.has_answered_recently(group) for group in groups)
 
     @property
@@ -111,7 +111,7 @@
         is_failing = self._client.failing_seconds > 0.0
         max_idle_s = FAILING_CHECK_SECONDS if is_failing else IDLE_CHECK_SECONDS
         groups = list(range(self._views.count))
-        own = self._zones.own
+        own = self._zones.own_group
         if is_failing and own is not None:
             groups.append(own)
         for group in groups:
--- a/yarrowwall/budgets/reservations.py
+++ b/yarrowwall/budgets/reservations.py
@@ -298,7 +298,7 @@
 
     def _timeout_s(self, group: int, request: BudgetRequest) -> float:
         """Return the timeout in seconds for an operation on a group."""
-        own = self._zones.own
+        own = self._zones.own_group
         is_last_resort = own is None or (
             group == own and request.common_group not in request.states
         )
--- a/yarrowwall/budgets/settlements.py
+++ b/yarrowwall/budgets/settlements.py
@@ -1,4 +1,4 @@
-"""What is still to be written to the groups of replicas: settlements, grants and traces."""
+"""Queues of records to write to the groups of replicas, such as settlements and grants."""
 
 import eventlet
 from eventlet.event import Event
@@ -8,19 +8,19 @@
 from yarrowwall.replication.exceptions import NoQuorumError
 from yarrowwall.replication.quorum_client import QuorumClient
 
-#: Seconds that settlements are collected before they are written together.
+#: Seconds for which records are collected before they are written together.
 BATCH_SECONDS = 0.03
-#: Seconds before a settlement that found no quorum is written again.
+#: Seconds before records that found no quorum are written again.
 RETRY_SECONDS = 0.25
-#: Most records of one write: after a cut there may be thousands, and a replica that writes them
-#: all at once holds turns up meanwhile.
+#: Largest number of records in one write. After a partition there may be thousands, and a replica
+#: that writes them all at once delays turns.
 MAX_BATCH_RECORDS = 256
 
 
 class _GroupQueue:
-    """Writes records to one group, again and again until a quorum has them.
+    """Writes records to one group, and retries until a quorum has stored them.
 
-    Groups have queues of their own, so that one out of reach holds up no other.
+    Each group has a separate queue, so that an unreachable group does not delay the others.
     """
 
     def __init__(self, group: int, client: QuorumClient, reachability: GroupReachability) -> None:
@@ -34,7 +34,7 @@
 
     @property
     def is_busy(self) -> bool:
-        """Return whether a record is still to be written."""
+        """Return whether any records are still unwritten."""
         return bool(self._waiting) or self._is_writing
 
     def add(self, record: StoredRecord) -> None:
@@ -67,7 +67,7 @@
 
 
 class SettlementQueues:
-    """Records that wait to be written, by group."""
+    """Records waiting to be written, by group."""
 
     def __init__(self, client: QuorumClient, reachability: GroupReachability) -> None:
         self._client = client
@@ -76,7 +76,7 @@
 
     @property
     def is_busy(self) -> bool:
-        """Return whether a record is still to be written."""
+        """Return whether any records are still unwritten."""
         return any(queue.is_busy for queue in self._queues.values())
 
     def add(self, group: int, record: StoredRecord) -> None:
--- a/yarrowwall/budgets/turn_copier.py
+++ b/yarrowwall/budgets/turn_copier.py
@@ -1,7 +1,7 @@
-"""Copies of turns that zones' groups keep, into the common groups once these are in reach.
+"""Copies turns from zone groups into their common groups once those are reachable.
 
-Nothing that is promised hangs on them: whoever does not find a turn in its common group asks
-the zones' groups. A copy saves that, and lets the turn go on through another cut.
+Correctness does not depend on the copies, since turns missing in their common group are looked up
+in the zone groups. A copy saves that lookup, and keeps the turn available during another partition.
 """
 
 from collections import OrderedDict
@@ -18,29 +18,33 @@
 from yarrowwall.replication.exceptions import NoQuorumError
 from yarrowwall.replication.quorum_client import QuorumClient
 
-#: Seconds between two copies, so that the gateways of a zone that is back leave its replicas to
-#: the turns that run: 20 a second from each.
+#: Seconds between two copies. This limits each gateway to 20 copies a second, so that replicas of a
+#: zone whose partition has healed stay available for running turns.
 PAUSE_SECONDS = 0.05
 #: Seconds before a copy that found no quorum is tried again.
 RETRY_SECONDS = 0.5
-#: Bytes of turns that wait to be copied; those least asked for beyond that stay where they are.
+#: Most bytes of turns in the queue. Beyond that the turns at its end are dropped, and stay only in
+#: their zone group.
 MAX_QUEUED_BYTES = 16 * 1024 * 1024
 
 
 class _QueuedTurn(NamedTuple):
-    """A turn that is to be copied."""
+    """A turn to be copied."""
 
     turn: Turn
     retention_s: float
 
     @property
     def size(self) -> int:
-        """Return its bytes."""
+        """Return the size of the turn in bytes."""
         return len(self.turn.body) + len(self.turn.output)
 
 
 class TurnCopier:
-    """Turns that wait to be copied, those first that were asked for."""
+    """A queue of turns to be copied, starting with those that callers need.
+
+    :param group_of: Returns the common group of a key; raises StoreUncertainError if there is none.
+    """
 
     def __init__(
         self,
@@ -60,7 +64,8 @@
     def add(self, turns: list[Turn], retention_s: float, is_urgent: bool) -> None:
         """Queue turns.
 
-        :param is_urgent: whether a caller goes on from them now; such ones are copied first.
+        :param retention_s: Seconds for which the copies are kept.
+        :param is_urgent: Whether a caller is continuing from them; such turns are copied first.
         """
         for turn in turns:
             self._put(_QueuedTurn(turn, retention_s), is_urgent)
@@ -86,7 +91,7 @@
         self._is_running = False
 
     def _copy_next(self) -> bool:
-        """Copy the first turn whose group is in reach; return whether that went."""
+        """Copy the first turn whose group is reachable; return whether one was copied."""
         for key, queued in self._queue.items():
             try:
                 group = self._group_of(turn_key(key))
@@ -103,7 +108,7 @@
             self._reachability.note_failed(group)
             return False
         self._log.write(decisions.TurnCopied(key, group))
-        # It may have been dropped meanwhile.
+        # It may have been dropped during the write.
         if self._queue.pop(key, None) is not None:
             self._queued_bytes -= queued.size
         return True
--- a/yarrowwall/budgets/turn_store.py
+++ b/yarrowwall/budgets/turn_store.py
@@ -1,9 +1,9 @@
-"""Turns of conversations in the record store: chains of them, and where a new one is kept.
+"""Storage and lookup of conversation turns in the record store.
 
-A turn belongs into its common group. While that is out of reach it is kept in the own
-zone's group, if that outlives as many lost disks as must be borne; it is copied to its
-common group later. A turn never changes, so any copy of it is right, and one is missing
-only if the common group and all zones' groups say so.
+A turn is stored in its common group. While that is unreachable, the turn is stored in the group of
+the gateway's zone, provided that this group survives the required number of lost disks, and is
+copied to its common group later. A turn never changes, so any copy of it is valid, and a turn is
+missing only if the common group and all zone groups say so.
 """
 
 from collections.abc import Callable
@@ -24,34 +24,35 @@
 from yarrowwall.replication.exceptions import NoQuorumError
 from yarrowwall.replication.quorum_client import OPERATION_SECONDS, QuorumClient
 
-#: Seconds that each group has at first to take a turn if the own zone's group may keep it too; else
-#: the common one has as long as any operation. Twice as many at each further try. An answer takes
-#: milliseconds, and callers wait for the end of each turn.
+#: Timeout in seconds of the first write to each group if the zone's group may store the turn too.
+#: Otherwise the common group has as long as any operation. The timeout doubles with each round. An
+#: answer takes milliseconds, and callers wait for the end of each turn.
 FIRST_STORE_TIMEOUT_SECONDS = 0.3
-#: Seconds between two tries: replicas whose connections end fail at once.
+#: Seconds between two rounds, since writes to replicas with closed connections fail at once.
 STORE_RETRY_SECONDS = 0.1
-#: Seconds that a group has at least, also behind the request's time: most take a turn in a few
-#: milliseconds.
+#: Smallest timeout in seconds of a write, even beyond the request's deadline. Most groups store a
+#: turn in a few milliseconds.
 MIN_STORE_TIMEOUT_SECONDS = 0.1
-#: Seconds of a request's time that are left for the end of its answer to reach the caller.
+#: Seconds before a request's deadline that are reserved for sending the end of its answer.
 END_MARGIN_SECONDS = 0.03
-#: Seconds that an end waited for its turn to be stored, from which on this is told.
+#: Seconds after which storing a turn is logged as late.
 LATE_STORE_SECONDS = 0.25
-#: Seconds that a turn looks for earlier ones in a group if another one may have them.
+#: Timeout in seconds of looking up earlier turns in a group if other groups may have them too.
 LOOKUP_TIMEOUT_SECONDS = 0.25
-#: Seconds that the members in reach have if their group as a whole is known to be out of it:
-#: one of them may hold the chain, and it stands in the same zone.
+#: The same for a group that is unreachable as a whole. A member that still answers may hold the
+#: chain, and is in the gateway's zone, so its answer takes little time.
 UNREACHABLE_LOOKUP_TIMEOUT_SECONDS = 0.03
 
-#: A record, and the group that it is written to.
+#: A group and a record to write to it.
 PlacedRecord = tuple[int, StoredRecord]
 
 
 class _ChainLookup(NamedTuple):
-    """Turns that were found, newest first.
+    """The result of looking up a turn and the earlier ones.
 
-    :param unasked: groups that could not tell.
-    :param reason: why the last one could not.
+    :param turns: The turns that were found, newest first.
+    :param unanswered: Groups that could not answer.
+    :param reason: Why the last of these could not.
     """
 
     turns: list[Turn]
@@ -61,10 +62,11 @@
 
 @dataclass
 class _PendingTurn:
-    """A turn that is to be stored.
+    """A turn to be stored.
 
-    :param begun: when that began, on the monotonic clock.
-    :param failures: why a group did not take it the last time, by group.
+    :param settlement_records: Settlements of its reservations, with their groups.
+    :param started_s: Monotonic time of the first write.
+    :param failures: Why the last write to a group failed, by group.
     """
 
     turn: Turn
@@ -82,10 +84,10 @@
 
 
 class TurnStore:
-    """Finds and keeps turns.
+    """Looks up and stores turns.
 
-    :param group_of: returns the common group of a key; raises StoreUncertainError if there is none.
-    :param now: the monotonic clock.
+    :param group_of: Returns the common group of a key; raises StoreUncertainError if there is none.
+    :param now: Returns the monotonic time in seconds.
     """
 
     def __init__(
@@ -109,9 +111,9 @@
         self._copier = TurnCopier(client, group_of, reachability, log)
 
     def check_storable(self, attempt_id: str) -> None:
-        """Refuse a turn that surely could not be kept at its end.
+        """Check that a turn can probably be stored when it ends.
 
-        :raises StoreUncertainError: if its group is out of reach and the zone keeps no turns.
+        :raises StoreUncertainError: If its group is unreachable and the zone cannot store turns.
         """
         group = self._group_of(turn_key(attempt_id))
         if self._reachability.is_unreachable(group) and not self._can_fall_back:
@@ -120,7 +122,7 @@
 
     @property
     def _can_fall_back(self) -> bool:
-        own = self._zones.own
+        own = self._zones.own_group
         return (
             own is not None
             and self._zones.stores_turns
@@ -132,24 +134,25 @@
     def chain(self, attempt_id: str, previous: str, retention_s: float) -> list[Turn]:
         """Return the turns up to ``previous``, oldest first.
 
-        :raises TurnUnknownError: if it surely does not exist.
-        :raises StoreUncertainError: if that cannot be told.
+        :param retention_s: Seconds for which copies of turns found in zone groups are kept.
+        :raises TurnUnknownError: If ``previous`` certainly does not exist.
+        :raises StoreUncertainError: If that cannot be decided, or an earlier turn is missing.
         """
         turns, missing = self._cache.chain(previous)
-        fetched = 0
+        fetched_count = 0
         while missing:
             more = self._fetch(attempt_id, missing, retention_s, is_first=not turns)
-            fetched += len(more)
+            fetched_count += len(more)
             turns += more
             missing = turns[-1].previous
-        outcome = "fetched" if fetched else "cached"
+        outcome = "fetched" if fetched_count else "cached"
         self._log.write(decisions.ChainLookedUp(attempt_id, previous, outcome, len(turns)))
         return turns[::-1]
 
     def _fetch(
         self, attempt_id: str, missing: str, retention_s: float, is_first: bool
     ) -> list[Turn]:
-        """Return a turn and those before it as far as one group has them, newest first."""
+        """Return a turn and the earlier ones that the same group has, newest first."""
         found = self._find_turns(turn_key(missing), retention_s)
         if found.turns:
             return found.turns
@@ -180,9 +183,9 @@
         return _ChainLookup([], unanswered, reason)
 
     def _read_from(self, group: int, key: str) -> list[Turn]:
-        """Return a turn and those before it that one group has.
+        """Return a turn and the earlier ones that a group has, newest first.
 
-        :raises NoQuorumError: if it cannot tell.
+        :raises NoQuorumError: If the group cannot answer.
         """
         is_unreachable = self._reachability.is_unreachable(group)
         try:
@@ -206,7 +209,7 @@
             return OPERATION_SECONDS
         return UNREACHABLE_LOOKUP_TIMEOUT_SECONDS if is_unreachable else LOOKUP_TIMEOUT_SECONDS
 
-    # Keeping
+    # Storing
 
     def store(
         self,
@@ -215,15 +218,16 @@
         settlement_records: list[PlacedRecord],
         deadline: Callable[[], float],
     ) -> None:
-        """Store a turn; ask its groups again until one takes it.
+        """Store a turn, and retry with its groups until one of them has stored it.
 
-        Its answer has begun, so a group that is out of reach or late is no reason to give up
-        while the request has time left. What is written twice is the same record.
+        The answer has already begun, so writes are retried until the request's deadline. Repeated
+        writes are idempotent.
 
-        :param settled: the settlement of its reservation, stored with it where it can be.
-        :param end: tells when the request's time is over, on the monotonic clock.
+        :param settlement_records: Settlements of its reservations, written with it if they belong
+            to the same group.
+        :param deadline: Returns the monotonic time at which the request's time is over.
 
-        :raises StoreUncertainError: if no quorum took it in time.
+        :raises StoreUncertainError: If no quorum stored it in time.
         """
         pending = _PendingTurn(
             turn, turn_record(turn, retention_s), retention_s, settlement_records, self._now()
@@ -243,42 +247,42 @@
             timeout_s *= 2.0
 
     def _target_groups(self, pending: _PendingTurn) -> list[int]:
-        """Return the groups that may keep a turn, those first that are in reach."""
+        """Return the groups that may store a turn, reachable ones first."""
         found = [self._group_of(pending.record.key)]
-        own = self._zones.own
+        own = self._zones.own_group
         if own is not None and self._zones.stores_turns:
             found.append(own)
         return sorted(found, key=self._reachability.is_unreachable)
 
     def _try_store(self, pending: _PendingTurn, group: int, timeout_s: float) -> bool:
-        """Return whether a group takes a turn within so many seconds."""
+        """Write a turn to a group; return whether it was stored within the timeout."""
         pending.tries += 1
         try:
-            if group == self._zones.own:
+            if group == self._zones.own_group:
                 self._store_in_zone(pending, group, timeout_s)
             else:
                 self._write(pending, group, timeout_s)
         except NoQuorumError as error:
             pending.failures[group] = str(error)
-            # A group that had less time than others get may be in reach all the same.
+            # With a shorter timeout than others get, a failure does not prove it unreachable.
             if self._zones.part_count and timeout_s >= FIRST_STORE_TIMEOUT_SECONDS:
                 self._reachability.note_failed(group)
             return False
         return True
 
     def _store_in_zone(self, pending: _PendingTurn, own: int, timeout_s: float) -> None:
-        """Store a turn in the own zone's group, to be copied to its common group later.
+        """Store a turn in the group of the gateway's zone, and queue it for copying.
 
-        :raises NoQuorumError: if the zone's group does not take it in time.
+        :raises NoQuorumError: If the zone's group does not store it in time.
         """
         self._write(pending, own, timeout_s)
         self._log.write(decisions.TurnKeptInZone(pending.turn.attempt_id, own))
         self._copier.add([pending.turn], pending.retention_s, is_urgent=False)
 
     def _write(self, pending: _PendingTurn, group: int, timeout_s: float) -> None:
-        """Write a turn to a group, with the settlements that belong there.
+        """Write a turn to a group with the settlements for that group, and queue the others.
 
-        :raises NoQuorumError: if the group does not take it in time.
+        :raises NoQuorumError: If the group does not store it in time.
         """
         settlements = [record for target, record in pending.settlement_records if target == group]
         self._client.write(group, [pending.record, *settlements], timeout=timeout_s)
--- a/yarrowwall/budgets/turns.py
+++ b/yarrowwall/budgets/turns.py
@@ -1,4 +1,4 @@
-"""Turns of conversations: their stored form, a cache of them, and prompts built from them."""
+"""Turns of conversations: their records, a cache of them, and prompts built from them."""
 
 import struct
 from collections import OrderedDict
@@ -8,12 +8,12 @@
 from yarrowwall.event_stream import Event
 from yarrowwall.messages.replicated import StoredRecord
 
-#: Bytes of turns that a gateway keeps in memory.
+#: Most bytes of turns that a gateway caches in memory.
 CACHE_BYTES = 24 * 1024 * 1024
 
 _LENGTH = struct.Struct(">I")
 _KEY_PREFIX = "turn/"
-#: Version of every turn's record: a turn never changes.
+#: Version of every turn's record, since a turn never changes.
 _VERSION = 1
 
 
@@ -21,9 +21,9 @@
 class Turn:
     """One finished turn.
 
-    :param previous: attempt id of the turn that it went on from; empty for none.
-    :param body: what the caller brought.
-    :param output: the data of each event, a line feed behind each.
+    :param previous: Attempt id of the turn that it continues; empty for none.
+    :param body: The request body from the caller.
+    :param output: The data of each event, each followed by a line feed.
     """
 
     attempt_id: str
@@ -32,26 +32,26 @@
     output: bytes
 
     def value(self) -> bytes:
-        """Return body and output in one piece."""
+        """Return the body and the output, encoded as the value of a record."""
         return _LENGTH.pack(len(self.body)) + self.body + self.output
 
 
 def turn_key(attempt_id: str) -> str:
-    """Return the record key of a turn."""
+    """Return the record key of a turn, or an empty text for an empty id."""
     return _KEY_PREFIX + attempt_id if attempt_id else ""
 
 
 def turn_record(turn: Turn, retention_s: float) -> StoredRecord:
     """Return the record of a turn.
 
-    :param retention: seconds that it is kept.
+    :param retention_s: Seconds for which the record is kept.
     """
     key, link = turn_key(turn.attempt_id), turn_key(turn.previous)
     return StoredRecord(key, _VERSION, "", link, retention_s, 0, turn.value())
 
 
 def read_turn(key: str, link: str, value: bytes) -> Turn:
-    """Return the turn that a record holds."""
+    """Return the turn encoded in a record."""
     (length,) = _LENGTH.unpack_from(value)
     start = _LENGTH.size
     return Turn(
@@ -63,17 +63,17 @@
 
 
 def output_of(events: Iterable[Event]) -> bytes:
-    """Return the output that a stream's events make up."""
+    """Return the output of a turn, given the events of its stream."""
     return b"".join(event.data + b"\n" for event in events)
 
 
 def prompt_body(turns: Sequence[Turn], body: bytes) -> bytes:
-    """Return what a server gets for a turn: everything earlier, then the new input."""
+    """Return the request body for a server: all earlier turns, then the new input."""
     return b"".join([part for turn in turns for part in (turn.body, turn.output)] + [body])
 
 
 class TurnCache:
-    """The turns that a gateway used last. A turn never changes, so any copy is good."""
+    """An LRU cache of turns. A turn never changes, so cached copies never become stale."""
 
     def __init__(self, max_bytes: int = CACHE_BYTES) -> None:
         self._max_bytes = max_bytes
@@ -81,7 +81,7 @@
         self._turns: OrderedDict[str, Turn] = OrderedDict()
 
     def put(self, turn: Turn) -> None:
-        """Keep a turn."""
+        """Add a turn as the most recently used."""
         if turn.attempt_id in self._turns:
             self._turns.move_to_end(turn.attempt_id)
             return
@@ -92,10 +92,10 @@
             self._bytes -= len(oldest.body) + len(oldest.output)
 
     def chain(self, attempt_id: str) -> tuple[list[Turn], str]:
-        """Return the known turns up to one, newest first.
+        """Return the cached turns up to one, newest first.
 
-        :returns: the turns, and the attempt id of the first unknown one; empty if the
-            chain is known from its beginning.
+        :returns: The turns, and the attempt id of the first one that is not cached; empty if the
+            whole chain is cached.
         """
         found = []
         while attempt_id:
--- a/yarrowwall/budgets/zone_groups.py
+++ b/yarrowwall/budgets/zone_groups.py
@@ -1,4 +1,4 @@
-"""The groups of replicas that stand in one zone each, as a gateway of a zone uses them."""
+"""Zone groups, whose replicas are all in one zone, as seen by a gateway."""
 
 from collections.abc import Iterator
 
@@ -7,9 +7,9 @@
 
 
 class ZoneGroups:
-    """The zones' groups, seen from one zone.
+    """The groups of all zones, as seen from one zone.
 
-    :param zone: the own one.
+    :param zone: The gateway's zone.
     """
 
     def __init__(self, zone: str, views: GroupViews) -> None:
@@ -18,41 +18,41 @@
 
     @property
     def part_count(self) -> int:
-        """Return among how many zones budgets are divided, the same at every gateway."""
+        """Return the number of zones among which budgets are divided, equal at all gateways."""
         return self._views.zone_parts
 
     @property
-    def own(self) -> int | None:
-        """Return the own zone's group; None if it has none."""
+    def own_group(self) -> int | None:
+        """Return the group of the gateway's zone, or None."""
         return self._views.zone_group(self._zone)
 
     @property
     def zone_count(self) -> int:
-        """Return how many zones have a group of their own."""
+        """Return the number of zones that have a group."""
         return len(self._views.zone_groups())
 
     def common_first(self, common_group: int) -> Iterator[int]:
-        """Return a common group and then all zones', the own one first, as far as they are asked.
+        """Yield a common group and then all zone groups, starting with the gateway's zone.
 
-        Most requests end at the common group and need no order of the others.
+        This is a generator because most requests need only the common group.
         """
         yield common_group
         yield from self.own_first
 
     @property
     def own_first(self) -> list[int]:
-        """Return all zones' groups, the own one first."""
-        own = self.own
+        """Return all zone groups, starting with that of the gateway's zone."""
+        own = self.own_group
         groups = self._views.zone_groups()
         return sorted(groups.values(), key=lambda group: (group != own, group))
 
     @property
     def stores_turns(self) -> bool:
-        """Return whether a turn may be kept in the own zone's group alone."""
-        own = self.own
+        """Return whether a turn may be stored in the group of the gateway's zone alone."""
+        own = self.own_group
         return own is not None and self._views.bears_losses(own)
 
     @staticmethod
     def is_zone_group(group: int) -> bool:
-        """Return whether a group is a zone's own."""
+        """Return whether a group is a zone group."""
         return is_zone_group(group)
