--- a/yarrowwall/budgets/budget_requests.py
+++ b/yarrowwall/budgets/budget_requests.py
@@ -100,12 +100,12 @@
     """Other claims on a program's budget in one group.
 
     :param amounts: All claims seen so far, by key.
-    :param last_server: The server of the program's previous turn; empty if unknown.
+    :param server_hint: A server that ran a recent turn of the program; empty if unknown.
     :param tokens: The sum of their tokens.
     """
 
     amounts: dict[str, Amount]
-    last_server: str
+    server_hint: str
     tokens: int
 
     @property
@@ -121,9 +121,9 @@
         )
 
 
-def group_state(amounts: dict[str, Amount], last_server: str) -> GroupState:
+def group_state(amounts: dict[str, Amount], server_hint: str) -> GroupState:
     """Return a group's state, given the other claims that it holds."""
-    return GroupState(amounts, last_server, sum([amount.tokens for amount in amounts.values()]))
+    return GroupState(amounts, server_hint, sum([amount.tokens for amount in amounts.values()]))
 
 
 class BudgetRequest:
@@ -216,7 +216,7 @@
     @property
     def last_server(self) -> str:
         """Return the server of the program's previous turn; empty if unknown."""
-        return next((state.last_server for state in self.states.values() if state.last_server), "")
+        return next((state.server_hint for state in self.states.values() if state.server_hint), "")
 
     @property
     def is_first(self) -> bool:
--- a/yarrowwall/budgets/turn_store.py
+++ b/yarrowwall/budgets/turn_store.py
@@ -284,11 +284,13 @@
 
         :raises NoQuorumError: If the group does not store it in time.
         """
-        settlements = [record for target, record in pending.settlement_records if target == group]
+        settlements = [
+            settlement for target, settlement in pending.settlement_records if target == group
+        ]
         self._client.write(group, [pending.record, *settlements], timeout=timeout_s)
-        for target, record in pending.settlement_records:
+        for target, settlement in pending.settlement_records:
             if target != group:
-                self._queues.add(target, record)
+                self._queues.add(target, settlement)
 
     def _note_stored(self, pending: _PendingTurn, group: int) -> None:
         self._cache.put(pending.turn)
