--- a/features/steps/quota_proof_steps.py
+++ b/features/steps/quota_proof_steps.py
@@ -9,7 +9,7 @@
 from yarrowwall.messages.quotas import QuotaReply, QuotaStatus, ReturnQuota, TakeQuota, TenantLimit
 from yarrowwall.messages.replicated import GroupView, Member
 from yarrowwall.policy.program_sizes import ProgramSizes
-from yarrowwall.quotas.issuer_lease import IssuerLease, Voucher
+from yarrowwall.quotas.issuer_lease import IssuerLease, ViewConfirmation
 from yarrowwall.quotas.issuer_order import IssuerOrder
 from yarrowwall.quotas.permit_issuer import PermitIssuer
 from yarrowwall.quotas.quota_rules import QuotaRules
@@ -51,7 +51,7 @@
 
 @when("{count:d} others vouch for epoch {epoch:d} by answers to questions sent {age:f} s ago")
 def others_vouch(context: Context, count: int, epoch: int, age: float) -> None:
-    confirmation = Voucher(epoch, NOW_S - age)
+    confirmation = ViewConfirmation(epoch, NOW_S - age)
     context.confirmations = {disk: confirmation for disk in context.disks[1 : count + 1]}
 
 
@@ -157,8 +157,12 @@
     for _ in range(count):
         context.run("short", 3)
         context.run("long", 11)
-    assert 6.0 <= context.sizes.expected("short") <= 8.0, context.sizes.expected("short")
-    assert 23.0 <= context.sizes.expected("long") <= 28.0, context.sizes.expected("long")
+    assert 6.0 <= context.sizes.expected_requests("short") <= 8.0, context.sizes.expected_requests(
+        "short"
+    )
+    assert 23.0 <= context.sizes.expected_requests("long") <= 28.0, context.sizes.expected_requests(
+        "long"
+    )
 
 
 LENDERS = ("a1", "a2", "b1", "b2", "c1")
--- a/yarrowwall/budgets/budget_requests.py
+++ b/yarrowwall/budgets/budget_requests.py
@@ -5,13 +5,13 @@
 
 from yarrowwall.model import ProgramContext
 from yarrowwall.policy.budget_parts import (
+    BudgetParts,
     ClaimState,
     PartReading,
-    Parts,
+    further_claim_key,
     is_exhausted,
-    is_spent,
-    more_key,
-    pieces_of,
+    is_permanently_exhausted,
+    pieces_to_take,
 )
 from yarrowwall.replication.rounds import Amount
 
@@ -57,7 +57,7 @@
         program.program_id,
         attempt_id,
         key,
-        program.most_tokens,
+        program.max_tokens,
         retention_s,
         common_group,
     )
@@ -71,7 +71,7 @@
     :param number: Number of the claim. Withdrawn claims are settled, so each needs a different key.
     :param withdrawn_keys: Keys of the withdrawn claims.
     """
-    key = more_key(claim.key, number)
+    key = further_claim_key(claim.key, number)
     return claim._replace(key=key, tokens=tokens, withdrawn_keys=frozenset(withdrawn_keys))
 
 
@@ -133,7 +133,7 @@
     :param zones: Number of zone groups that may be asked in addition to the common group.
     """
 
-    def __init__(self, claim: TokenClaim, parts: Parts, zones: int) -> None:
+    def __init__(self, claim: TokenClaim, parts: BudgetParts, zones: int) -> None:
         self.claim = claim
         self.common_group = claim.common_group
         self._zones = zones
@@ -158,7 +158,7 @@
         """Return the total size of the parts whose groups have not answered."""
         is_common_read = self.common_group in self.states
         zones_unread = self._zones - (len(self.states) - is_common_read)
-        return zones_unread * self._parts.of_zone + (0 if is_common_read else self._parts.common)
+        return zones_unread * self._parts.per_zone + (0 if is_common_read else self._parts.common)
 
     @property
     def is_exhausted(self) -> bool:
@@ -174,9 +174,9 @@
 
         None if a later turn may fit, or if the common group already has such a record.
         """
-        if not self._parts.of_zone or self._is_marked_exhausted:
+        if not self._parts.per_zone or self._is_marked_exhausted:
             return None
-        if not is_spent(self.readings, self.claim.tokens, self.unread_tokens):
+        if not is_permanently_exhausted(self.readings, self.claim.tokens, self.unread_tokens):
             return None
         return f"{self._marker_prefix}{self.claim.tokens}"
 
@@ -196,12 +196,12 @@
     def add_state(self, group: int, state: GroupState) -> None:
         """Add the state of a group that answered."""
         self.states[group] = state
-        self.tokens_by_group = pieces_of(self.readings, self.claim.tokens)
+        self.tokens_by_group = pieces_to_take(self.readings, self.claim.tokens)
 
     def drop_state(self, group: int) -> None:
         """Remove a group that no longer answers."""
         del self.states[group]
-        self.tokens_by_group = pieces_of(self.readings, self.claim.tokens)
+        self.tokens_by_group = pieces_to_take(self.readings, self.claim.tokens)
 
     @property
     def missing_tokens(self) -> int:
@@ -225,4 +225,4 @@
         return self.common_group in self.states and is_unused
 
     def _part_size(self, group: int) -> int:
-        return self._parts.common if group == self.common_group else self._parts.of_zone
+        return self._parts.common if group == self.common_group else self._parts.per_zone
--- a/yarrowwall/budgets/ledger.py
+++ b/yarrowwall/budgets/ledger.py
@@ -90,7 +90,7 @@
         """
         if self._client.failing_seconds < UNREACHABLE_SECONDS:
             return True
-        groups = [*range(self._views.count), self._zones.own_group]
+        groups = [*range(self._views.common_group_count), self._zones.own_group]
         return any(self._reachability.has_answered_recently(group) for group in groups)
 
     @property
@@ -102,7 +102,7 @@
         """Check groups that have not answered for some time."""
         if self._zones.part_count:
             self._probe_groups()
-        elif self._client.failing_seconds and self._views.count:
+        elif self._client.failing_seconds and self._views.common_group_count:
             with contextlib.suppress(NoQuorumError):
                 self._check_group(0)
 
@@ -110,7 +110,7 @@
         """Refresh the answer times that readiness and grants from the zone's part depend on."""
         is_failing = self._client.failing_seconds > 0.0
         max_idle_s = FAILING_CHECK_SECONDS if is_failing else IDLE_CHECK_SECONDS
-        groups = list(range(self._views.count))
+        groups = list(range(self._views.common_group_count))
         own = self._zones.own_group
         if is_failing and own is not None:
             groups.append(own)
@@ -120,7 +120,7 @@
 
     def _check_others(self, unreachable_group: int) -> None:
         """Check all other groups at once, since the same fault may have cut them off too."""
-        for group in [*range(self._views.count), *self._zones.own_first]:
+        for group in [*range(self._views.common_group_count), *self._zones.own_first]:
             if group != unreachable_group:
                 eventlet.spawn_n(self._reachability.check, group)
 
--- a/yarrowwall/budgets/reservations.py
+++ b/yarrowwall/budgets/reservations.py
@@ -33,10 +33,10 @@
 from yarrowwall.policy.budget_parts import (
     ClaimState,
     Verdict,
-    divide,
-    holds_beside_all,
-    judge,
-    spread,
+    allocate_spent,
+    decide_grant,
+    divide_budget,
+    fits_with_all_claims,
 )
 from yarrowwall.replication.exceptions import NoQuorumError
 from yarrowwall.replication.quorum_client import OPERATION_SECONDS, OwnerReading, QuorumClient
@@ -89,7 +89,7 @@
         :raises StoreUncertainError: If too few groups could be asked.
         """
         request = BudgetRequest(
-            claim, divide(budget, self._zones.part_count), self._zones.zone_count
+            claim, divide_budget(budget, self._zones.part_count), self._zones.zone_count
         )
         try:
             verdict = self._claim_from_groups(request)
@@ -130,7 +130,7 @@
     ) -> list[tuple[int, StoredRecord]]:
         """Return the records that settle a reservation at the emitted tokens, with their groups."""
         claim = reservation.claim
-        spent = spread(reservation.tokens_by_group, tokens)
+        spent = allocate_spent(reservation.tokens_by_group, tokens)
         records = [
             (group, self._record(group, claim, ClaimState.SETTLED, amount, server_id))
             for group, amount in spent.items()
@@ -247,7 +247,7 @@
         record = self._record(group, claim, ClaimState.RESERVED, missing_tokens)
         reading = self._client.reserve(group, record, timeout=self._timeout_s(group, request))
         state = group_state(_others(reading, claim), reading.note)
-        if not (reading.is_sure and state.is_settled):
+        if not (reading.is_complete and state.is_settled):
             state = self._read(request, group, state)
         self._reachability.note_answered(group)
         request.add_state(group, state)
@@ -277,7 +277,7 @@
             eventlet.sleep(CONTENTION_INTERVAL_SECONDS)
             self._read_again(request)
             verdict = self._evaluate(request)
-        is_full = not holds_beside_all(request.readings, request.claim.tokens)
+        is_full = not fits_with_all_claims(request.readings, request.claim.tokens)
         if verdict is Verdict.CONTENDED and is_full and not request.unreachable:
             return Verdict.EXHAUSTED
         return verdict
@@ -285,7 +285,7 @@
     @staticmethod
     def _evaluate(request: BudgetRequest) -> Verdict:
         claim = request.claim
-        return judge(request.readings, claim.key, claim.tokens, request.unread_tokens)
+        return decide_grant(request.readings, claim.key, claim.tokens, request.unread_tokens)
 
     def _read_again(self, request: BudgetRequest) -> None:
         """Read the claims of all groups that answered again."""
--- a/yarrowwall/budgets/zone_groups.py
+++ b/yarrowwall/budgets/zone_groups.py
@@ -19,7 +19,7 @@
     @property
     def part_count(self) -> int:
         """Return the number of zones among which budgets are divided, equal at all gateways."""
-        return self._views.zone_parts
+        return self._views.zone_group_count
 
     @property
     def own_group(self) -> int | None:
@@ -50,7 +50,7 @@
     def stores_turns(self) -> bool:
         """Return whether a turn may be stored in the group of the gateway's zone alone."""
         own = self.own_group
-        return own is not None and self._views.bears_losses(own)
+        return own is not None and self._views.tolerates_losses(own)
 
     @staticmethod
     def is_zone_group(group: int) -> bool:
--- a/yarrowwall/machine/gateway_role.py
+++ b/yarrowwall/machine/gateway_role.py
@@ -9,36 +9,36 @@
 
 from yarrowwall import decisions
 from yarrowwall.budgets.ledger import ReplicatedLedger
+from yarrowwall.capacity.admission_client import AdmissionClient
 from yarrowwall.capacity.load_reports import LoadReporter
-from yarrowwall.capacity.program_rooms import ProgramRooms
 from yarrowwall.decisions import DecisionLog
-from yarrowwall.dispatch.parts import DispatchParts
+from yarrowwall.dispatch.components import DispatchComponents
 from yarrowwall.dispatch.pool import ConnectionPool
+from yarrowwall.gateway.components import GatewayComponents
 from yarrowwall.gateway.gateway import Gateway
-from yarrowwall.gateway.http_server import ServerLimits, serve
-from yarrowwall.gateway.parts import GatewayParts
-from yarrowwall.listening import SteadyListener
+from yarrowwall.gateway.http_server import CurrentCallerLimits, serve
+from yarrowwall.listening import ResilientListener
 from yarrowwall.machine.gateway_followers import GatewayFollowers
 from yarrowwall.machine.listeners import EarlyListeners
 from yarrowwall.machine.settings import GatewaySettings, MachineSettings
 from yarrowwall.messages.relaying import Neighbour
 from yarrowwall.messages.replicated import GroupView
 from yarrowwall.metrics import MachineMetrics
+from yarrowwall.policy.active_programs import ActivePrograms
 from yarrowwall.policy.freshness import Freshness
 from yarrowwall.policy.memory_budget import MemoryBounds, MemoryBudget
-from yarrowwall.policy.programs_under_way import ProgramsUnderWay
 from yarrowwall.policy.servers import ServerDirectory
 from yarrowwall.ports.platform import Adapter
 from yarrowwall.quotas.permit_client import PermitClient
-from yarrowwall.replication.forwarding import Forwarder
+from yarrowwall.replication.forwarding import ForwardHandler
 from yarrowwall.replication.group_views import GroupViews
 from yarrowwall.replication.loss_checks import LossChecks
 from yarrowwall.replication.neighbour_finder import NeighbourFinder
-from yarrowwall.replication.passage import NeighbourPassage
+from yarrowwall.replication.neighbour_forwarder import NeighbourForwarder
 from yarrowwall.replication.quorum_client import QuorumClient
 from yarrowwall.replication.relayed_links import RelayedLinkTable
 from yarrowwall.replication.rpc import serve_requests
-from yarrowwall.watching.store import ReaderStore
+from yarrowwall.watching.store_client import StoreClient
 
 #: Seconds between rounds of housekeeping.
 HOUSEKEEPING_SECONDS = 0.5
@@ -48,7 +48,7 @@
 STOP_MARGIN_SECONDS = 0.7
 
 
-class GatewayService:
+class GatewayRole:
     """Runs a gateway."""
 
     def __init__(
@@ -56,7 +56,7 @@
         settings: MachineSettings,
         own: GatewaySettings,
         adapter: Adapter,
-        store: ReaderStore,
+        store: StoreClient,
         listeners: EarlyListeners,
         log: DecisionLog,
     ) -> None:
@@ -68,28 +68,28 @@
         self._directory = ServerDirectory(settings.zone)
         self._pool = ConnectionPool(time.monotonic, time.time)
         self._directory.on_removed = self._pool.end_incarnation
-        self._limits = ServerLimits()
+        self._limits = CurrentCallerLimits()
         self._memory = MemoryBudget(MemoryBounds.of_machine(settings.memory_mb))
         self._store = store
         self._views = GroupViews(self._note_view)
         links = self._links = RelayedLinkTable(settings.node_id, log, time.monotonic)
         own_address = Neighbour(settings.node_id, settings.zone, settings.peer_address)
         self._finder = NeighbourFinder(own_address, self._views, links)
-        self._forwarder = Forwarder(links, self._is_passed_on_to)
-        store.detour.use(NeighbourPassage(links, time.monotonic))
+        self._forwarder = ForwardHandler(links, self._is_passed_on_to)
+        store.relayed_reads.set_forwarder(NeighbourForwarder(links, time.monotonic))
         client = QuorumClient(settings.zone, self._views, links, time.monotonic)
         losses = LossChecks(self._views, links, store, log, time.monotonic)
-        client.has_lost, client.on_all_gone = losses.has_lost, losses.check
-        programs = ProgramsUnderWay()
+        client.has_lost, client.on_all_replaced = losses.has_lost, losses.check
+        programs = ActivePrograms()
         self._ledger = ReplicatedLedger(settings.zone, self._views, client, log, time.monotonic)
         self._loads = LoadReporter(
             settings.node_id, self._directory, self._views, links, time.monotonic, programs
         )
-        rooms = ProgramRooms(self._directory, self._loads, programs, log, time.monotonic)
+        rooms = AdmissionClient(self._directory, self._loads, programs, log, time.monotonic)
         self._quotas = PermitClient(settings.zone, self._views, links, log, time.monotonic)
         bounds = settings.bounds
         self._freshness = Freshness(bounds.revocation_s, bounds.configuration_s)
-        dispatch = DispatchParts(
+        dispatch = DispatchComponents(
             self._directory,
             self._pool,
             adapter.servers,
@@ -99,7 +99,7 @@
             time.monotonic,
         )
         self.gateway = Gateway(
-            GatewayParts(
+            GatewayComponents(
                 dispatch,
                 adapter.callers,
                 self._ledger,
@@ -123,13 +123,13 @@
         """Begin to follow the store and to listen."""
         self._followers.start()
         self._loads.start()
-        if self._settings.takes_forwarded:
+        if self._settings.accepts_forwarded_requests:
             self._start_forwarding()
-        callers = SteadyListener(self._listeners.take(self._own.http_address), self._log)
+        callers = ResilientListener(self._listeners.take(self._own.http_address), self._log)
         eventlet.spawn_n(serve, callers, self.gateway, self._limits, self._log)
         eventlet.spawn_n(
             eventlet.wsgi.server,
-            SteadyListener(self._listeners.take(self._own.readiness_address), self._log),
+            ResilientListener(self._listeners.take(self._own.readiness_address), self._log),
             self._answer_readiness,
             log_output=False,
         )
@@ -142,7 +142,7 @@
         except OSError as error:
             self._log.write(decisions.DependencyChanged("peer port", False, str(error)))
             return
-        peers = SteadyListener(plain, self._log)
+        peers = ResilientListener(plain, self._log)
         eventlet.spawn_n(serve_requests, peers, self._forwarder.handle, self._log)
         self._finder.start()
 
@@ -162,18 +162,18 @@
             eventlet.sleep(0.05)
         self.gateway.note_process_ended()
 
-    def measure(self, metrics: MachineMetrics) -> None:
+    def update_metrics(self, metrics: MachineMetrics) -> None:
         """Set the metrics that are measured when they are asked for."""
         metrics.set_age(self.gateway.configuration_age_s)
         metrics.set_relayed(self._links.relayed, self._forwarder.forwarded)
         metrics.set_relay_refusals(self._links.refused, self._forwarder.refused)
-        metrics.set_reader_detours(self._store.detour.outcomes)
+        metrics.set_reader_detours(self._store.relayed_reads.outcomes)
         metrics.set_held(
             {
                 "all": self._memory.held,
                 "peak": self._memory.peak,
                 "bound": self._memory.bounds.total,
-                "server_with_most": self._memory.most_for_a_server,
+                "server_with_most": self._memory.largest_server_bytes,
             }
         )
 
@@ -185,10 +185,12 @@
         them through those; one that hears nothing of the configuration refuses all that come
         with a key.
         """
-        if self._links.paths.is_served(time.monotonic()):
+        if self._links.paths.has_working_neighbour(time.monotonic()):
             return False
         is_able = (
-            self._followers.is_informed and self._ledger.is_reachable and self.gateway.serves_keys
+            self._followers.has_initial_state
+            and self._ledger.is_reachable
+            and self.gateway.serves_keys
         )
         return is_able and not self.gateway.is_stopping
 
--- a/yarrowwall/machine/replica_requests.py
+++ b/yarrowwall/machine/replica_requests.py
@@ -4,8 +4,8 @@
 from collections.abc import Callable
 from typing import NamedTuple, cast
 
+from yarrowwall.capacity.admission_board import AdmissionBoard
 from yarrowwall.capacity.load_board import LoadBoard
-from yarrowwall.capacity.room_board import RoomBoard
 from yarrowwall.messages.capacity import AskRoom, ReturnRoom
 from yarrowwall.messages.objects import ListObjects, WatchObjects
 from yarrowwall.messages.quotas import ReturnQuota, TakeQuota
@@ -23,16 +23,16 @@
 )
 from yarrowwall.quotas.permit_service import PermitService
 from yarrowwall.replication.disk import RecordDisk
-from yarrowwall.replication.neighbours import NeighbourBoard
+from yarrowwall.replication.neighbours import NeighbourRegistry
 from yarrowwall.replication.replica import Request
 from yarrowwall.replication.synchroniser import Synchroniser
 from yarrowwall.replication.views import is_zone_group
-from yarrowwall.watching.reader import ObjectReader
+from yarrowwall.watching.reader import StoreReader
 
 Reply = Callable[[object], None]
 
 
-class KeptReplica(NamedTuple):
+class LocalReplica(NamedTuple):
     """A replica of the machine with its disk and its copying."""
 
     disk: RecordDisk
@@ -47,15 +47,15 @@
     """
 
     def __init__(
-        self, common: KeptReplica, zone: KeptReplica, permits: PermitService, reader: ObjectReader
+        self, common: LocalReplica, zone: LocalReplica, permits: PermitService, reader: StoreReader
     ) -> None:
         self._common = common
         self._zone = zone
         self._permits = permits
         self._reader = reader
         self._loads = LoadBoard()
-        self._rooms = RoomBoard()
-        self._neighbours = NeighbourBoard()
+        self._rooms = AdmissionBoard()
+        self._neighbours = NeighbourRegistry()
 
     def handle(self, request: object, reply: Reply) -> None:
         """Answer a request; the reply may follow later, or not at all."""
@@ -67,7 +67,7 @@
             case AskRoom():
                 reply(self._rooms.decide(request, self._loads, time.monotonic()))
             case ReturnRoom():
-                self._rooms.take_back(request)
+                self._rooms.cancel(request)
             case TakeQuota():
                 self._permits.issue(request, reply)
             case ReturnQuota():
@@ -82,12 +82,12 @@
             case _:
                 self._ask_replica(cast(Request, request), reply)
 
-    def replica_of(self, group: int) -> KeptReplica:
+    def replica_of(self, group: int) -> LocalReplica:
         """Return the replica that is for groups of a kind."""
         return self._zone if is_zone_group(group) else self._common
 
     @staticmethod
-    def _status(kept: KeptReplica) -> StatusReply:
+    def _status(kept: LocalReplica) -> StatusReply:
         return kept.disk.replica.status()
 
     def _ask_replica(self, request: Request, reply: Reply) -> None:
@@ -104,18 +104,18 @@
             lambda: reply(RecordsReply(ReplyStatus.DISK_REFUSED, False, [], None)),
         )
 
-    def _after_persist(self, asked: KeptReplica, reply: object) -> object:
-        asked.synchroniser.look()
+    def _after_persist(self, asked: LocalReplica, reply: object) -> object:
+        asked.synchroniser.check_now()
         return self._status(asked) if isinstance(reply, StatusReply) else reply
 
     # Loads
 
     def _exchange_loads(self, report: ReportLoad) -> LoadReply:
         self._take_loads(report)
-        others = self._loads.others(report.node_id)
+        others = self._loads.loads_of_others(report.node_id)
         interval_s, reporters = self._loads.interval_s, self._loads.reporters
         return LoadReply(list(others), list(others.values()), interval_s, reporters)
 
     def _take_loads(self, report: ReportLoad | TellLoad) -> None:
         running = dict(zip(report.servers, report.running, strict=True))
-        self._loads.take(report.node_id, running, time.monotonic(), report.services)
+        self._loads.record_report(report.node_id, running, time.monotonic(), report.services)
--- a/yarrowwall/machine/replica_role.py
+++ b/yarrowwall/machine/replica_role.py
@@ -6,10 +6,10 @@
 import eventlet
 
 from yarrowwall.decisions import DecisionLog
-from yarrowwall.listening import SteadyListener
+from yarrowwall.listening import ResilientListener
 from yarrowwall.machine.listeners import EarlyListeners
 from yarrowwall.machine.registration import Registration
-from yarrowwall.machine.replica_requests import KeptReplica, ReplicaRequests
+from yarrowwall.machine.replica_requests import LocalReplica, ReplicaRequests
 from yarrowwall.machine.settings import MachineSettings, ReplicaSettings
 from yarrowwall.messages.replicated import (
     GroupView,
@@ -24,7 +24,7 @@
 from yarrowwall.ports.platform import Documents
 from yarrowwall.quotas.permit_service import PermitService
 from yarrowwall.quotas.replica_disk import QuotaSettings, ReplicaDisk
-from yarrowwall.replication.coordinator import Coordinator, OwnReplicas
+from yarrowwall.replication.coordinator import Coordinator, MachineReplicas
 from yarrowwall.replication.disk import RecordDisk
 from yarrowwall.replication.documents import (
     GROUPS_KIND,
@@ -39,7 +39,7 @@
 from yarrowwall.replication.synchroniser import Synchroniser
 from yarrowwall.replication.views import all_members, disk_ids, is_zone_group, zone_of
 from yarrowwall.watching.follower import LONG_WATCH_SECONDS, KindFollower
-from yarrowwall.watching.reader import ObjectReader
+from yarrowwall.watching.reader import StoreReader
 
 #: Seconds between rounds of upkeep, and between looks for records to drop.
 UPKEEP_SECONDS = 0.3
@@ -51,7 +51,7 @@
 ZONE_FOLDER = "zone"
 
 
-class ReplicaService:
+class ReplicaRole:
     """Runs a replica of the record store."""
 
     def __init__(
@@ -60,7 +60,7 @@
         own: ReplicaSettings,
         documents: Documents,
         store: ObjectStore,
-        reader: ObjectReader,
+        reader: StoreReader,
         listeners: EarlyListeners,
         log: DecisionLog,
     ) -> None:
@@ -78,16 +78,16 @@
         self._links = LinkTable(log, time.monotonic)
         self._peers = ReplicaPeers(settings.node_id, settings.zone, self._links, time.monotonic)
         self._permits = PermitService(self._disk, self._peers, log)
-        self._common = KeptReplica(
+        self._common = LocalReplica(
             self._disk, Synchroniser(self._disk, self._links, log, time.time)
         )
-        self._zone = KeptReplica(
+        self._zone = LocalReplica(
             zone_disk, Synchroniser(zone_disk, self._links, log, time.time, ZONE_LOOK_SECONDS)
         )
         self._coordinator = Coordinator(
             settings.node_id,
             store,
-            OwnReplicas(settings.zone, self._disk.replica, zone_disk.replica),
+            MachineReplicas(settings.zone, self._disk.replica, zone_disk.replica),
             self._peers,
             log,
             time.monotonic,
@@ -109,7 +109,7 @@
                 self._group_changed,
                 log,
                 watch_s=LONG_WATCH_SECONDS,
-                may_be_old=True,
+                allow_stale=True,
             ),
             KindFollower(
                 store,
@@ -118,7 +118,7 @@
                 self._replica_changed,
                 log,
                 watch_s=LONG_WATCH_SECONDS,
-                may_be_old=True,
+                allow_stale=True,
             ),
             KindFollower(
                 store,
@@ -126,13 +126,13 @@
                 self._retirements_listed,
                 self._retirement_changed,
                 log,
-                may_be_old=True,
+                allow_stale=True,
             ),
         ]
 
     def start(self) -> None:
         """Begin to serve."""
-        listener = SteadyListener(self._listeners.take(self._settings.peer_address), self._log)
+        listener = ResilientListener(self._listeners.take(self._settings.peer_address), self._log)
         eventlet.spawn_n(serve_requests, listener, self._requests.handle, self._log)
         for follower in self._followers:
             follower.start()
@@ -146,7 +146,7 @@
     def stop(self) -> None:
         """Return at once: whatever was acknowledged is on disk."""
 
-    def measure(self, metrics: MachineMetrics) -> None:
+    def update_metrics(self, metrics: MachineMetrics) -> None:
         """Set the metrics that are measured when they are asked for."""
         metrics.set_lent(self._disk.issuer.issued_by_tenant(time.monotonic()))
         metrics.set_zone_records(len(self._zone.disk.replica.table))
@@ -157,8 +157,8 @@
         next_expiry = time.monotonic() + EXPIRY_SECONDS
         while True:
             eventlet.sleep(UPKEEP_SECONDS)
-            self._registration.tell_retirement(self._coordinator.views())
-            self._reader.stop_unwanted()
+            self._registration.report_retirement(self._coordinator.views())
+            self._reader.stop_idle_kinds()
             self._permits.record_begun()
             if time.monotonic() > next_expiry:
                 next_expiry = time.monotonic() + EXPIRY_SECONDS
@@ -172,19 +172,19 @@
     def _groups_listed(self, items: list[StoredObject]) -> None:
         for item in items:
             self._take_groups(item)
-        self._coordinator.has_listed = True
+        self._coordinator.has_registrations = True
 
     def _group_changed(self, change: Change) -> None:
         if not change.is_gone:
             self._take_groups(change.item)
 
     def _take_groups(self, item: StoredObject) -> None:
-        self._coordinator.take_groups(item)
+        self._coordinator.update_groups(item)
         for view in self._coordinator.views():
             replica = self._requests.replica_of(view.group)
             if _concerns(view, replica.disk.replica):
-                views = replica.disk.replica.take_view(view)
-                replica.disk.persist(views, replica.synchroniser.look)
+                views = replica.disk.replica.install_view(view)
+                replica.disk.persist(views, replica.synchroniser.check_now)
             if is_zone_group(view.group) and zone_of(view) == self._settings.zone:
                 self._peers.has_zone_group = True
 
@@ -202,7 +202,7 @@
     def _take_registration(self, item: StoredObject) -> None:
         common = read_registration(item)
         if common is not None:
-            self._peers.take(item.name, common, read_zone_registration(item))
+            self._peers.note_registration(item.name, common, read_zone_registration(item))
 
     def _retirements_listed(self, items: list[StoredObject]) -> None:
         self._registration.retirements = {item.name: item for item in items}
--- a/yarrowwall/quotas/issuer_lease.py
+++ b/yarrowwall/quotas/issuer_lease.py
@@ -14,7 +14,7 @@
 from yarrowwall.messages.replicated import GroupView
 from yarrowwall.quorum import majority
 from yarrowwall.replication.replica import FIRST_EPOCH
-from yarrowwall.replication.views import Voucher, disk_ids
+from yarrowwall.replication.views import ViewConfirmation, disk_ids
 
 #: Seconds for which an answer of another replica counts, from the time its request was sent. Four
 #: requests are sent in that time, so one lost answer does not end the lease.
@@ -128,7 +128,7 @@
         own = score(tenant, self._disk_id)
         return sum(score(tenant, disk) < own for disk in disks)
 
-    def is_held(self, confirmations: Mapping[str, Voucher], now_s: float) -> bool:
+    def is_held(self, confirmations: Mapping[str, ViewConfirmation], now_s: float) -> bool:
         """Return whether the replica may issue permits now.
 
         :param confirmations: The latest confirmation of each other replica, by disk.
@@ -144,7 +144,7 @@
         return confirming >= majority(len(members))
 
     @staticmethod
-    def _confirms(confirmation: Voucher | None, epoch: int, now_s: float) -> bool:
+    def _confirms(confirmation: ViewConfirmation | None, epoch: int, now_s: float) -> bool:
         if confirmation is None or confirmation.epoch > epoch:
             return False
         return confirmation.asked_at_s >= now_s - LEASE_SECONDS
--- a/yarrowwall/quotas/permit_requests.py
+++ b/yarrowwall/quotas/permit_requests.py
@@ -65,7 +65,7 @@
 
     def _return_permits(self) -> None:
         for permit in self.take_permits():
-            self._link.tell(permit.return_message())
+            self._link.send_one_way(permit.return_message())
 
 
 class PermitRequests:
--- a/yarrowwall/quotas/permits.py
+++ b/yarrowwall/quotas/permits.py
@@ -62,7 +62,7 @@
 
     def return_to_issuer(self, permit: Permit) -> None:
         """Return a permit, so that its issuer can issue it again."""
-        self._links.get(permit.issuer.address).tell(permit.return_message())
+        self._links.get(permit.issuer.address).send_one_way(permit.return_message())
 
     def next_batch_size(self, tenant: str) -> int:
         """Return the number of permits to request now, and note that they are requested."""
