--- a/features/steps/quota_proof_steps.py
+++ b/features/steps/quota_proof_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the state machines behind tenants' limits."""
+"""Steps about the state machines that enforce tenants' limits."""
 
 from behave import given, then, when
 from behave.runner import Context
@@ -14,20 +14,20 @@
 from yarrowwall.quotas.permit_issuer import PermitIssuer
 from yarrowwall.quotas.quota_rules import QuotaRules
 
-#: Schedules in which a mutant has to be found.
+#: Seeds of the schedules that have to detect a mutant.
 MUTANT_SEEDS = range(150)
 NOW_S = 100.0
 PLAIN = QuotaRules(5.0)
 
 
 @then("the schedules {first:d} to {last:d} keep every window within the limit")
-def schedules_hold(context: Context, first: int, last: int) -> None:
+def schedules_keep_limit(context: Context, first: int, last: int) -> None:
     excess = {seed: played(seed).excess() for seed in range(first, last + 1)}
     broken = {seed: value for seed, value in excess.items() if value > 0.0}
     assert not broken, broken
 
 
-@then("some schedule finds that {mutant}")
+@then("some schedule detects that {mutant}")
 def mutant_found(context: Context, mutant: str) -> None:
     with MUTANTS[mutant]():
         assert any(played(seed).excess() > 0.0 for seed in MUTANT_SEEDS)
@@ -49,18 +49,18 @@
     context.lease.install_view(GroupView(0, 1, members, []), 0.0)
 
 
-@when("{count:d} others vouch for epoch {epoch:d} by answers to questions sent {age:f} s ago")
-def others_vouch(context: Context, count: int, epoch: int, age: float) -> None:
+@when("{count:d} others confirm epoch {epoch:d} in answers to requests sent {age:f} s ago")
+def others_confirm(context: Context, count: int, epoch: int, age: float) -> None:
     confirmation = ViewConfirmation(epoch, NOW_S - age)
     context.confirmations = {disk: confirmation for disk in context.disks[1 : count + 1]}
 
 
-@then("it lends: {lends}")
-def it_lends(context: Context, lends: str) -> None:
-    assert context.lease.is_held(context.confirmations, NOW_S) == (lends == "yes")
+@then("it issues permits: {issues}")
+def it_issues(context: Context, issues: str) -> None:
+    assert context.lease.is_held(context.confirmations, NOW_S) == (issues == "yes")
 
 
-def lender_of(context: Context, rate_per_s: float, burst: float) -> None:
+def issuer_of(context: Context, rate_per_s: float, burst: float) -> None:
     context.issuer = PermitIssuer(PLAIN, 1, lambda tenant, now_s: 0)
     context.limit = TenantLimit(1, rate_per_s, burst)
     context.replies = []
@@ -73,18 +73,18 @@
     return reply
 
 
-@given("a lender of a part of {count:d} requests")
-def lender_of_part(context: Context, count: int) -> None:
-    lender_of(context, 0.0, count)
+@given("an issuer with a share of {count:d} requests")
+def issuer_of_share(context: Context, count: int) -> None:
+    issuer_of(context, 0.0, count)
 
 
-@given("a lender of a limit of {rate:d} a second and a burst of {burst:d}")
-def lender_of_limit(context: Context, rate: int, burst: int) -> None:
-    lender_of(context, rate, burst)
+@given("an issuer of a limit of {rate:d} a second and a burst of {burst:d}")
+def issuer_of_limit(context: Context, rate: int, burst: int) -> None:
+    issuer_of(context, rate, burst)
 
 
-@when("{count:d} requests are lent and one is given back")
-def lent_and_back(context: Context, count: int) -> None:
+@when("{count:d} permits are issued and one is returned")
+def issued_and_returned(context: Context, count: int) -> None:
     for _ in range(count):
         assert ask(context, 0.0).status is QuotaStatus.GRANTED
     assert ask(context, 0.0).status is QuotaStatus.NO_ROOM
@@ -92,26 +92,26 @@
     context.at_s = 0.0
 
 
-@then("{count:d} more is lent, and then none")
-def more_lent(context: Context, count: int) -> None:
-    more_lent_at(context, context.at_s, count)
+@then("{count:d} more is issued, and then none")
+def more_issued(context: Context, count: int) -> None:
+    more_issued_at(context, context.at_s, count)
 
 
-@then("at {at_s:f} s {count:d} more is lent, and then none")
-def more_lent_at(context: Context, at_s: float, count: int) -> None:
+@then("at {at_s:f} s {count:d} more is issued, and then none")
+def more_issued_at(context: Context, at_s: float, count: int) -> None:
     for _ in range(count):
         assert ask(context, at_s).status is QuotaStatus.GRANTED
     assert ask(context, at_s).status is QuotaStatus.NO_ROOM
 
 
-@when("3 requests are lent at 0.0, 1.0 and 2.0 s")
-def lent_at(context: Context) -> None:
+@when("3 permits are issued at 0.0, 1.0 and 2.0 s")
+def issued_at(context: Context) -> None:
     for at_s in (0.0, 1.0, 2.0):
         assert ask(context, at_s).status is QuotaStatus.GRANTED
 
 
-@then("at {at_s:f} s a caller is told to come back after {after_s:f} s")
-def come_back(context: Context, at_s: float, after_s: float) -> None:
+@then("at {at_s:f} s a request is refused with a retry time of {after_s:f} s")
+def refused_until(context: Context, at_s: float, after_s: float) -> None:
     reply = ask(context, at_s)
     assert reply.status is QuotaStatus.NO_ROOM
     assert abs(reply.retry_after_s - after_s) < 0.001, reply
@@ -124,15 +124,15 @@
         assert ask(context, at_s, 0, context.size).status is QuotaStatus.GRANTED
 
 
-@then("at {at_s:f} s one more is told to come back after {after_s:f} s")
+@then("at {at_s:f} s one more is refused with a retry time of {after_s:f} s")
 def program_refused(context: Context, at_s: float, after_s: float) -> None:
     reply = ask(context, at_s, 0, context.size)
     assert reply.status is QuotaStatus.NO_ROOM
     assert abs(reply.retry_after_s - after_s) < 0.001, reply
 
 
-@then("at {at_s:f} s one more is welcome")
-def program_welcome(context: Context, at_s: float) -> None:
+@then("at {at_s:f} s one more is admitted")
+def program_admitted(context: Context, at_s: float) -> None:
     assert ask(context, at_s, 0, context.size).status is QuotaStatus.GRANTED
 
 
@@ -165,13 +165,13 @@
     )
 
 
-LENDERS = ("a1", "a2", "b1", "b2", "c1")
+ISSUERS = ("a1", "a2", "b1", "b2", "c1")
 
 
-@given('lenders "a1", "a2", "b1", "b2" and "c1" in the zones they are named after')
-def five_lenders(context: Context) -> None:
+@given('issuers "a1", "a2", "b1", "b2" and "c1" in the zones they are named after')
+def five_issuers(context: Context) -> None:
     context.order = IssuerOrder("a")
-    context.issuers = [Member(name, name, "127.0.0.1:1", name[0]) for name in LENDERS]
+    context.issuers = [Member(name, name, "127.0.0.1:1", name[0]) for name in ISSUERS]
 
 
 @when("at {at_s:f} s nothing is known")
@@ -179,29 +179,29 @@
     pass
 
 
-@when('at {at_s:f} s "{name}" has no room')
-def one_without_room(context: Context, at_s: float, name: str) -> None:
+@when('at {at_s:f} s "{name}" has no permits')
+def one_exhausted(context: Context, at_s: float, name: str) -> None:
     member = next(one for one in context.issuers if one.node_id == name)
     context.order.note_exhausted(member, "alloy", 3.0, at_s)
 
 
 @when('at {at_s:f} s "{name}" does not answer')
-def one_silent(context: Context, at_s: float, name: str) -> None:
+def one_unavailable(context: Context, at_s: float, name: str) -> None:
     context.order.note_unavailable(
         next(one for one in context.issuers if one.node_id == name), at_s
     )
 
 
-@when("at {at_s:f} s none has room")
-def none_with_room(context: Context, at_s: float) -> None:
-    for name in LENDERS:
-        one_without_room(context, at_s, name)
+@when("at {at_s:f} s none has permits")
+def none_with_permits(context: Context, at_s: float) -> None:
+    for name in ISSUERS:
+        one_exhausted(context, at_s, name)
 
 
 @when("at {at_s:f} s none answers")
 def none_answers(context: Context, at_s: float) -> None:
-    for name in LENDERS:
-        one_silent(context, at_s, name)
+    for name in ISSUERS:
+        one_unavailable(context, at_s, name)
 
 
 def asked(context: Context, at_s: float) -> list[str]:
@@ -225,17 +225,17 @@
     assert asked(context, at_s)[0] == name
 
 
-@then("for limits of 0 to 40 requests the parts of five lenders make up the limit")
-def parts_make_up(context: Context) -> None:
-    members = [Member(name, name, "127.0.0.1:1", "z") for name in LENDERS]
-    entitlements = []
-    for name in LENDERS:
+@then("for limits of 0 to 40 requests the shares of five issuers add up to the limit")
+def shares_add_up(context: Context) -> None:
+    members = [Member(name, name, "127.0.0.1:1", "z") for name in ISSUERS]
+    leases = []
+    for name in ISSUERS:
         one = IssuerLease(name, PLAIN.counted_s)
         one.install_view(GroupView(0, 1, members, []), 0.0)
-        entitlements.append(one)
+        leases.append(one)
     for most in range(41):
         limit = TenantLimit(1, 0.0, float(most))
         for tenant in ("alloy", "ore", "slag"):
-            parts = [PLAIN.share(limit, 5, one.rank(tenant, NOW_S)) for one in entitlements]
-            assert sum(parts) == most, (most, tenant, parts)
-            assert max(parts) - min(parts) <= 1
+            shares = [PLAIN.share(limit, 5, one.rank(tenant, NOW_S)) for one in leases]
+            assert sum(shares) == most, (most, tenant, shares)
+            assert max(shares) - min(shares) <= 1
--- a/features/steps/quota_steps.py
+++ b/features/steps/quota_steps.py
@@ -1,4 +1,4 @@
-"""Steps about tenants' limits, from what callers and servers see."""
+"""Steps about tenants' limits as seen by callers and servers."""
 
 import signal
 import threading
@@ -15,10 +15,10 @@
 from features.support.processes import wait_until
 
 WINDOW_S = 5.0
-#: Requests that clients have under way at once.
+#: Number of concurrent clients.
 CLIENTS = 8
 MOST_PROGRAMS = 30
-#: Tokens that a program with several turns may emit.
+#: Token budget of a program with several turns.
 BUDGET = 400
 
 
@@ -31,13 +31,13 @@
 
 @given('the tenant "{name}" has a limit of {rate_per_s:d} a second and a burst of {burst:d}')
 def has_limit(context: Context, name: str, rate_per_s: int, burst: int) -> None:
-    wait_until(lambda: lends(context), "the replicas lend")
+    wait_until(lambda: know_group(context), "the replicas know their group")
     set_limit(context, name, rate_per_s, burst)
     context.ran = []
 
 
-def lends(context: Context) -> bool:
-    """Return whether all replicas have heard of their group."""
+def know_group(context: Context) -> bool:
+    """Return whether all gateways have logged the group of replicas."""
     return all(
         any(line["kind"] == "GroupChanged" for line in world(context).log(name))
         for name in world(context).processes
@@ -156,7 +156,7 @@
         assert ask_turn(context, "key-a", "chat", "same").status == 402
 
 
-# Replicas that are slow or gone
+# Slow and stopped replicas
 
 
 @when("every replica is stopped for {pause_ms:d} ms again and again for {seconds:d} s")
--- a/features/steps/spent_budget_steps.py
+++ b/features/steps/spent_budget_steps.py
@@ -1,4 +1,4 @@
-"""Steps about programs that go on although their budgets are spent."""
+"""Steps about programs that continue although their budgets are exhausted."""
 
 import time
 from collections import Counter
@@ -31,9 +31,9 @@
 COMMON = 0
 ZONE_GROUPS = [3000, 3001, 3002, 3003]
 OWN_ZONE = "zone-1"
-MOST_TOKENS = 136
+MAX_TOKENS = 136
 RETENTION_SECONDS = 60.0
-#: Seconds in which a settlement is written for certain.
+#: Seconds after which a settlement is certainly written.
 SETTLED_SECONDS = 0.2
 ROUTE = Route(
     "talk", "host", "/talk/", RequestKind.STREAM, (), 5.0, 2, 1, False, 60.0, False, False
@@ -41,21 +41,22 @@
 
 
 class _Groups:
-    """Groups of replicas that answer at once, and count what they are asked.
+    """Groups of replicas that answer at once and count requests.
 
-    :ivar fails_once: groups that do not answer the next claim.
-    :ivar leaves_at: the group that a turn has claimed tokens of when its caller leaves.
+    :ivar silent: Groups that do not answer.
+    :ivar fails_once: Groups that do not answer the next claim.
+    :ivar disconnects_at: The group whose claim is stored when the turn's caller disconnects.
     """
 
     def __init__(self) -> None:
         self.asked: Counter[int] = Counter()
         self.silent: set[int] = set()
         self.fails_once: set[int] = set()
-        self.leaves_at: int | None = None
+        self.disconnects_at: int | None = None
         self._records: dict[int, dict[str, Amount]] = {}
 
     def loss(self, group: int) -> str:
-        """Return nothing: no group has lost its records."""
+        """Return an empty text, since no group has lost its records."""
         return ""
 
     def reserve(self, group: int, record: StoredRecord, timeout: float) -> OwnerReading:
@@ -65,7 +66,7 @@
             self.fails_once.discard(group)
             raise NoQuorumError(f"group {group}: silent")
         self.keep(group, record)
-        if group == self.leaves_at:
+        if group == self.disconnects_at:
             raise CallerDisconnectedError("half or full close")
         return self._reading(group)
 
@@ -93,7 +94,7 @@
 
 
 def _views() -> GroupViews:
-    """Return the views of a common group and of four zones' own."""
+    """Return the views of a common group and of four zone groups."""
     views = GroupViews()
     for place, group in enumerate([COMMON, *ZONE_GROUPS]):
         zone = f"zone-{place}"
@@ -102,7 +103,7 @@
 
 
 class _Queues:
-    """Writes settlements at once."""
+    """Writes settlements immediately."""
 
     def __init__(self, groups: _Groups) -> None:
         self._groups = groups
@@ -114,10 +115,10 @@
 
 class _Log:
     def write(self, decision: Decision) -> None:
-        """Take in a decision."""
+        """Discard a decision."""
 
 
-@given("a program with {budget:d} tokens whose turns emit all that they may")
+@given("a program with {budget:d} tokens whose turns emit as much as they may")
 def program_with(context: Context, budget: int) -> None:
     context.budget = budget
     context.groups = groups = _Groups()
@@ -130,42 +131,42 @@
 
 
 def _turn(context: Context) -> str:
-    """Run a turn and return what became of it."""
+    """Run a turn and return its outcome."""
     context.turns += 1
-    program = ProgramContext("looper", context.budget, MOST_TOKENS, None, None)
+    program = ProgramContext("looper", context.budget, MAX_TOKENS, None, None)
     attempt = f"attempt-{context.turns:03}"
     claim = claim_for("looper", program, attempt, RETENTION_SECONDS, COMMON)
     try:
         reserved = context.reservations.reserve(claim, context.budget)
     except BudgetExhaustedError:
-        return "spent"
+        return "exhausted"
     except StoreUncertainError:
         return "uncertain"
     context.reservations.settle(reserved, reserved.granted, "i-1")
     return "granted"
 
 
-@given("it has run until its budget was spent")
+@given("it has run until its budget was exhausted")
 def run_until_spent(context: Context) -> None:
-    while (end := _turn(context)) == "granted":
+    while (outcome := _turn(context)) == "granted":
         pass
-    assert end == "spent", end
+    assert outcome == "exhausted", outcome
     context.groups.asked.clear()
 
 
-@when("it asks for {count:d} turns more")
+@when("it requests {count:d} more turns")
 def ask_more(context: Context, count: int) -> None:
-    context.ends = [_turn(context) for _ in range(count)]
+    context.outcomes = [_turn(context) for _ in range(count)]
 
 
-@then("each is told that it is spent, by one question to its common group")
+@then("each is refused as exhausted, by one request to its common group")
 def one_question(context: Context) -> None:
-    assert set(context.ends) == {"spent"}, context.ends
-    assert context.groups.asked == {COMMON: len(context.ends)}, context.groups.asked
+    assert set(context.outcomes) == {"exhausted"}, context.outcomes
+    assert context.groups.asked == {COMMON: len(context.outcomes)}, context.groups.asked
 
 
-@when("the group of zone {zone:d} falls silent")
-def falls_silent(context: Context, zone: int) -> None:
+@when("the group of zone {zone:d} stops answering")
+def stops_answering(context: Context, zone: int) -> None:
     context.groups.silent.add(ZONE_GROUPS[zone])
 
 
@@ -174,62 +175,62 @@
     assert {_turn(context) for _ in range(count)} == {"granted"}
 
 
-@then("the next turn is told {end}")
-def next_is_told(context: Context, end: str) -> None:
+@then("the outcome of the next turn is {outcome}")
+def next_outcome_is(context: Context, outcome: str) -> None:
     found = _turn(context)
-    assert found == end, found
+    assert found == outcome, found
 
 
-@when("the caller of a turn leaves while it waits for its common group")
-def leaves_within_claim(context: Context) -> None:
-    context.groups.leaves_at = COMMON
+@when("the caller of a turn disconnects while it waits for its common group")
+def disconnects_during_claim(context: Context) -> None:
+    context.groups.disconnects_at = COMMON
     try:
         _turn(context)
     except CallerDisconnectedError:
-        context.groups.leaves_at = None
+        context.groups.disconnects_at = None
         return
     raise AssertionError("the turn was decided")
 
 
 def _open_turn(context: Context, attempt_id: str) -> Any:
-    program = ProgramContext("looper", context.budget, MOST_TOKENS, None, None)
+    program = ProgramContext("looper", context.budget, MAX_TOKENS, None, None)
     now_s = time.monotonic()
     attempt = Attempt(attempt_id, "POST", "/x", "host", [], b"", now_s, now_s + 9.0, program)
     return context.ledger.open_turn(attempt, ROUTE, 1, lambda: context.end_s)
 
 
-@given("one of its turns was granted the part of its zone alone")
+@given("one of its turns was granted only the part of its zone")
 def granted_zone_part(context: Context) -> None:
     groups: Any = context.groups
     log: Any = _Log()
     context.ledger = ReplicatedLedger(OWN_ZONE, _views(), groups, log, time.monotonic)
-    # A zone's part alone is granted only a while after the common group was heard.
+    # A zone's part alone is granted only for some time after an answer of the common group.
     _open_turn(context, "before").close([], "i-1")
-    # Until its settlement is written.
+    # Wait until its settlement is written.
     eventlet.sleep(SETTLED_SECONDS)
     groups.silent = {COMMON, *ZONE_GROUPS[1:]}
     context.grant = _open_turn(context, "short")
 
 
-@when("its common group is back but does not answer its next claim")
-def back_but_fails_once(context: Context) -> None:
+@when("its common group recovers but does not answer its next claim")
+def recovers_but_fails_once(context: Context) -> None:
     context.groups.fails_once.add(COMMON)
     context.groups.silent.discard(COMMON)
-    # Longer than between two questions whether it is back.
+    # Longer than between two probes.
     eventlet.sleep(2.0 * PROBE_INTERVAL_SECONDS)
 
 
-@then("the turn gets all that it may emit within {limit_s:f} s")
-def gets_the_rest(context: Context, limit_s: float) -> None:
+@then("the turn is granted all its tokens within {limit_s:f} s")
+def granted_the_rest(context: Context, limit_s: float) -> None:
     context.end_s = time.monotonic() + limit_s
-    context.grant.ensure_granted([Event(b"", str(number)) for number in range(MOST_TOKENS)])
+    context.grant.ensure_granted([Event(b"", str(number)) for number in range(MAX_TOKENS)])
     assert COMMON not in context.groups.fails_once
 
 
-@when("the caller of a turn that was granted leaves before it is sent")
-def leaves_before_sending(context: Context) -> None:
+@when("the caller of a granted turn disconnects before it is sent")
+def disconnects_before_sending(context: Context) -> None:
     now_s = time.monotonic()
-    program = ProgramContext("looper", context.budget, MOST_TOKENS, None, None)
+    program = ProgramContext("looper", context.budget, MAX_TOKENS, None, None)
     attempt = Attempt("granted", "POST", "/x", "host", [], b"", now_s, now_s + 9.0, program)
     context.grant = Mock(spec=TurnGrant, body=b"", last_server="", is_first=False)
     gateway = Mock()
@@ -243,11 +244,11 @@
         list(exchange._stream(attempt, ROUTE, RequestTime(now_s, now_s + 9.0, 5.0)))
     except CallerDisconnectedError:
         return
-    raise AssertionError("the turn went on")
+    raise AssertionError("the turn continued")
 
 
-@then("its tokens are handed back")
-def handed_back(context: Context) -> None:
+@then("its tokens are released")
+def tokens_released(context: Context) -> None:
     context.grant.close.assert_called_once_with([], "")
 
 
@@ -266,13 +267,13 @@
     context.held_by_other = tokens + part * len(ZONE_GROUPS[1:])
 
 
-@when("its common group is back")
-def common_back(context: Context) -> None:
+@when("its common group recovers")
+def common_recovers(context: Context) -> None:
     context.groups.silent.discard(COMMON)
 
 
-@then("the turn gets {tokens:d} tokens within {limit_s:f} s, some at a time")
-def gets_some_at_a_time(context: Context, tokens: int, limit_s: float) -> None:
+@then("the turn is granted {tokens:d} tokens within {limit_s:f} s, some at a time")
+def granted_some_at_a_time(context: Context, tokens: int, limit_s: float) -> None:
     context.end_s = time.monotonic() + limit_s
     for count in range(1, tokens + 1):
         context.grant.ensure_granted([Event(b"", str(number)) for number in range(count)])
@@ -289,16 +290,16 @@
     turns_have_run(context, 1)
 
 
-@when("the group of zone {zone:d} falls silent for {length:d} ms")
-def falls_silent_for(context: Context, zone: int, length: int) -> None:
+@when("the group of zone {zone:d} stops answering for {length:d} ms")
+def stops_answering_for(context: Context, zone: int, length: int) -> None:
     group = ZONE_GROUPS[zone]
     context.groups.silent.add(group)
     eventlet.spawn_after(length / 1000.0, context.groups.silent.discard, group)
 
 
-@then("the next turn is granted all that it may emit")
+@then("the next turn is granted all its tokens")
 def granted_in_full(context: Context) -> None:
-    program = ProgramContext("looper", context.budget, MOST_TOKENS, None, None)
+    program = ProgramContext("looper", context.budget, MAX_TOKENS, None, None)
     claim = claim_for("looper", program, "in-full", RETENTION_SECONDS, COMMON)
     reserved = context.reservations.reserve(claim, context.budget)
-    assert reserved.granted == MOST_TOKENS, reserved
+    assert reserved.granted == MAX_TOKENS, reserved
--- a/features/steps/tenant_steps.py
+++ b/features/steps/tenant_steps.py
@@ -1,4 +1,4 @@
-"""Steps about tenants: keys, what servers are told, and what is kept apart."""
+"""Steps about tenants: API keys, forwarded headers, and isolation between tenants."""
 
 import time
 from collections.abc import Sequence
@@ -12,7 +12,7 @@
 from features.support.processes import wait_until
 from yarrowwall.platform import names
 
-#: What a client puts into headers that are not its own.
+#: Value that a client sends in headers that only the system may set.
 FORGED = "forged-by-client"
 EVENTS = 4
 
@@ -22,7 +22,7 @@
 
 
 def ask_as(context: Context, key: str, route: str, text: str = "payload", **headers) -> Answer:
-    """Send a request with a key; ``none`` stands for none, ``and`` joins two."""
+    """Send a request with a key, without one for ``none``, or with two joined by ``and``."""
     keys = [("X-Key", one) for one in key.split(" and ") if one != "none"]
     own = [(name.replace("_", "-"), value) for name, value in headers.items()]
     return send_exactly(context, route, keys + own, text)
@@ -31,7 +31,7 @@
 def send_exactly(
     context: Context, route: str, headers: Sequence[tuple[str, str]], text: str = "payload"
 ) -> Answer:
-    """Send a request whose headers may be doubled, in the spelling that they are given in."""
+    """Send a request with headers as given, including duplicates and spelling."""
     used = world(context).connect()
     started = time.monotonic()
     used.putrequest("POST", f"/{route}/x?q=1", skip_host=True)
@@ -63,14 +63,14 @@
 
 
 def answered(context: Context, key: str, route: str, program: str, **headers) -> int:
-    """Return the status of a turn once the record store can tell."""
+    """Return the status of a turn once the record store can decide."""
     found: list[int] = []
 
     def run() -> bool:
         found.append(ask_turn(context, key, route, program, **headers).status)
         return found[-1] != 503
 
-    wait_until(run, "the store can tell")
+    wait_until(run, "the store can decide")
     return found[-1]
 
 
@@ -103,15 +103,15 @@
     context.answers = [ask_as(context, key, route, text)]
 
 
-@then('the server was told the tenant "{name}" and no key')
-def told_tenant(context: Context, name: str) -> None:
+@then('the server received the tenant "{name}" and no key')
+def received_tenant(context: Context, name: str) -> None:
     (arrival,) = arrivals(context, "records")
     assert arrival.headers.get("X-Tenant") == name, arrival.headers
     assert not any("key-" in value for value in arrival.headers.values()), arrival.headers
 
 
-@then("the server was told no tenant")
-def told_no_tenant(context: Context) -> None:
+@then("the server received no tenant")
+def received_no_tenant(context: Context) -> None:
     (arrival,) = arrivals(context, "notices")
     assert "X-Tenant" not in arrival.headers
 
@@ -122,7 +122,7 @@
 
 
 def spellings(name: str) -> list[dict[str, str]]:
-    """Return headers by which a client may try to set one that is not its own."""
+    """Return headers by which a client may try to set a header of the system."""
     return [
         {name: FORGED},
         {name.lower(): FORGED},
@@ -133,9 +133,11 @@
     ]
 
 
-@when('a client with key "{key}" sends every header that is the system\'s, in every spelling')
+@when(
+    'a client with key "{key}" sends every header that only the system may set, in every spelling'
+)
 def forge(context: Context, key: str) -> None:
-    # A doubled key is no key; a deadline of the client's own has to be a number.
+    # A duplicate key counts as no key, and a client's deadline has to be a number.
     forged = [
         name for name in names.STRIPPED_HEADERS if name not in (names.API_KEY, names.DEADLINE)
     ]
@@ -146,7 +148,7 @@
             context.answers.append(send_exactly(context, "records", sent))
 
 
-@then("no server got a value of the client in any of them")
+@then("no server received a client's value in any of them")
 def no_forged(context: Context) -> None:
     found = arrivals(context, "records")
     assert len(found) == len(context.answers)
@@ -161,8 +163,8 @@
         ask_as(context, key, route, X_Prompt_Prefix="ab:100", X_Token_Count="100,40")
 
 
-@then("the server was told rank {first:d}, then rank {second:d}")
-def told_ranks(context: Context, first: int, second: int) -> None:
+@then("the server received rank {first:d}, then rank {second:d}")
+def received_ranks(context: Context, first: int, second: int) -> None:
     ranks = [int(one.headers["X-Request-Priority"]) for one in arrivals(context, "talk")]
     assert ranks == [first, second], ranks
 
@@ -173,12 +175,12 @@
         context.turn = ask_as(context, key, route, X_Program_Id="p", X_Token_Count="100,40")
         return context.turn.status != 503
 
-    wait_until(run, "the store can tell")
+    wait_until(run, "the store can decide")
     assert context.turn.status == 200 and context.turn.is_whole
 
 
-@then('a client with key "{key}" that goes on from it gets {status:d}')
-def goes_on(context: Context, key: str, status: int) -> None:
+@then('a client with key "{key}" that continues from it gets {status:d}')
+def continues_from(context: Context, key: str, status: int) -> None:
     previous = context.turn.headers["X-Attempt-Id"]
     assert answered(context, key, "chat", "next", X_Previous_Turn=previous) == status
 
@@ -207,8 +209,8 @@
 
 
 FAULTY = {
-    "a doubled key": [tenant("alloy", "key-a"), tenant("ore", "key-a")],
-    "a doubled name": [tenant("alloy", "key-a"), tenant("alloy", "key-o")],
+    "a duplicate key": [tenant("alloy", "key-a"), tenant("ore", "key-a")],
+    "a duplicate name": [tenant("alloy", "key-a"), tenant("alloy", "key-o")],
     "a negative rate": [tenant("alloy", "key-a", rate_per_s=-1)],
 }
 
--- a/features/steps/turn_end_steps.py
+++ b/features/steps/turn_end_steps.py
@@ -1,4 +1,4 @@
-"""Steps about ends of streams that wait until their turns are stored."""
+"""Steps about streams that complete only once their turns are stored."""
 
 import signal
 import time
@@ -14,15 +14,16 @@
 ANSWERED = 200
 REFUSED = 503
 EXHAUSTED = 402
-#: Events of a stream, and bytes of the first one's beginning.
+#: Number of events in a stream, and tokens of each.
 EVENTS = 4
 EVENT_TOKENS = 10
 BUDGET = 10_000
+#: Bytes of the first event that are read before anything fails.
 _BEGINNING = 8
 
 
 def storage_machines(context: Context) -> list[str]:
-    """Return the names of the storage machines that run."""
+    """Return the names of the running storage machines."""
     return [
         name
         for name, process in sorted(world(context).processes.items())
@@ -57,11 +58,11 @@
 )
 def begin_turn_of(context: Context, route: str, time_ms: int, budget: int, gateway: int) -> None:
     context.budget = budget
-    context.given_tokens = 0
+    context.relayed_tokens = 0
     for known in world(context).routes:
         known["timeout_ms"] = max(known["timeout_ms"], time_ms)
     version = world(context).publish()
-    wait_until(lambda: in_force(context, gateway) >= version, "the route has its time")
+    wait_until(lambda: in_force(context, gateway) >= version, "the route has its timeout")
     turns_are_answered(context, route, gateway)
     context.route = route
     context.connection = world(context).connect(gateway)
@@ -84,7 +85,7 @@
 def turns_are_answered(context: Context, route: str, gateway: int) -> None:
     # The first operation opens the connections to the replicas.
     wait_until(
-        lambda: is_answered(context, route, gateway, "before"), "the record store takes turns"
+        lambda: is_answered(context, route, gateway, "before"), "the record store stores turns"
     )
 
 
@@ -99,19 +100,19 @@
     return answer.status == ANSWERED and answer.is_whole
 
 
-@when('the time of "{route}" is raised to {time_ms:d} ms at gateway {gateway:d}')
-def raise_time(context: Context, route: str, time_ms: int, gateway: int) -> None:
+@when('the timeout of "{route}" is raised to {time_ms:d} ms at gateway {gateway:d}')
+def raise_timeout(context: Context, route: str, time_ms: int, gateway: int) -> None:
     (found,) = [one for one in world(context).routes if one["name"] == route]
     found["timeout_ms"] = time_ms
     version = world(context).publish()
-    wait_until(lambda: in_force(context, gateway) >= version, "the route has its time")
+    wait_until(lambda: in_force(context, gateway) >= version, "the route has its timeout")
 
 
-@when("the storage machines fall silent")
-def fall_silent(context: Context) -> None:
-    context.silent_at = time.monotonic()
-    context.silent = storage_machines(context)
-    for name in context.silent:
+@when("the storage machines are paused")
+def pause_storage(context: Context) -> None:
+    context.paused_at = time.monotonic()
+    context.paused = storage_machines(context)
+    for name in context.paused:
         world(context).kill(name, signal.SIGSTOP)
 
 
@@ -121,10 +122,10 @@
     assert answer.status == REFUSED, answer
 
 
-@when("the storage machines go on {seconds:f} s after they fell silent")
-def go_on(context: Context, seconds: float) -> None:
-    time.sleep(max(0.0, context.silent_at + seconds - time.monotonic()))
-    for name in context.silent:
+@when("the storage machines resume {seconds:f} s after they were paused")
+def resume_storage(context: Context, seconds: float) -> None:
+    time.sleep(max(0.0, context.paused_at + seconds - time.monotonic()))
+    for name in context.paused:
         world(context).kill(name, signal.SIGCONT)
 
 
@@ -133,7 +134,7 @@
     world(context).kill(f"storage-{number}")
 
 
-@when("storage machines {one:d} and {other:d} start again {seconds:f} s later")
+@when("storage machines {one:d} and {other:d} restart {seconds:f} s later")
 def start_storage(context: Context, one: int, other: int, seconds: float) -> None:
     time.sleep(seconds)
     for number in (one, other):
@@ -141,17 +142,17 @@
 
 
 def rest_of_stream(context: Context) -> Answer:
-    """Return the stream that is under way, read to its end."""
+    """Read the running stream to its end and return it."""
     answer = read_rest(context.response, context.begun_at)
     context.connection.close()
     answer = replace(answer, body=context.beginning + answer.body)
-    note_given(context, answer)
+    note_relayed(context, answer)
     return answer
 
 
-def note_given(context: Context, answer: Answer) -> None:
+def note_relayed(context: Context, answer: Answer) -> None:
     """Count the tokens that the program got."""
-    context.given_tokens += answer.body.count(b"data:") * EVENT_TOKENS
+    context.relayed_tokens += answer.body.count(b"data:") * EVENT_TOKENS
 
 
 @when("zone 0 is no longer cut off {seconds:f} s later")
@@ -160,59 +161,59 @@
     world(context).set_cut(is_cut=False)
 
 
-@then("the stream ends whole")
-def ends_whole(context: Context) -> None:
+@then("the stream completes")
+def completes(context: Context) -> None:
     answer = rest_of_stream(context)
     assert answer.is_whole, answer
     assert answer.body.count(b"data:") == EVENTS, answer
 
 
-@then("the stream is cut within {least:f} to {most:f} s")
-def is_cut(context: Context, least: float, most: float) -> None:
+@then("the stream is aborted within {least:f} to {most:f} s")
+def is_aborted(context: Context, least: float, most: float) -> None:
     answer = rest_of_stream(context)
     assert not answer.is_whole, answer
     assert answer.body.count(b"data:") == EVENTS, answer
     assert least <= answer.seconds <= most, answer
 
 
-@then("a turn goes on from it at gateway {gateway:d}")
-def goes_on(context: Context, gateway: int) -> None:
+@then("a turn continues from it at gateway {gateway:d}")
+def continues_from(context: Context, gateway: int) -> None:
     headers = turn_headers("under-way", context.turn, context.budget)
 
-    def has_gone_on() -> bool:
+    def has_continued() -> bool:
         answer = world(context).ask(context.route, b"more", gateway, **headers)
-        note_given(context, answer)
+        note_relayed(context, answer)
         assert answer.status in (ANSWERED, REFUSED), answer
         return answer.status == ANSWERED and answer.is_whole
 
-    wait_until(has_gone_on, "the next turn goes on")
+    wait_until(has_continued, "the next turn continues")
 
 
-@then("the program's turns get no more than its budget until they are told so")
+@then("the program's turns get no more than its budget until they are refused")
 def spends_all(context: Context) -> None:
     headers = turn_headers("under-way", context.turn, context.budget)
 
     def is_spent() -> bool:
         answer = world(context).ask(context.route, b"more", 1, **headers)
-        note_given(context, answer)
-        assert context.given_tokens <= context.budget, context.given_tokens
+        note_relayed(context, answer)
+        assert context.relayed_tokens <= context.budget, context.relayed_tokens
         return answer.status == EXHAUSTED
 
     wait_until(is_spent, "the budget is spent")
     most_tokens = EVENTS * EVENT_TOKENS
-    assert context.given_tokens > context.budget - most_tokens, context.given_tokens
+    assert context.relayed_tokens > context.budget - most_tokens, context.relayed_tokens
 
 
-@then("gateway {gateway:d} has told that the turn was kept late")
-def told_late(context: Context, gateway: int) -> None:
+@then("gateway {gateway:d} has logged that the turn was stored late")
+def logged_late(context: Context, gateway: int) -> None:
     lines = world(context).log(f"edge-{gateway}")
     found = [line for line in lines if line["kind"] == "TurnKeptLate"]
     found = [line for line in found if line["attempt"] == context.turn]
     assert len(found) == 1 and found[0]["tries"] > 1 and found[0]["seconds"] > 0.25, lines
 
 
-@then("gateway {gateway:d} has told which group did not take the turn")
-def told_group(context: Context, gateway: int) -> None:
+@then("gateway {gateway:d} has logged which group did not store the turn")
+def logged_group(context: Context, gateway: int) -> None:
     lines = world(context).log(f"edge-{gateway}")
     cut = [line for line in lines if line["kind"] == "AnswerBrokenOff"]
     assert [line["attempt"] for line in cut] == [context.turn], cut
--- a/features/steps/turn_keep_steps.py
+++ b/features/steps/turn_keep_steps.py
@@ -1,4 +1,4 @@
-"""Steps about how long a turn's groups are asked to take it."""
+"""Steps about how long storing a turn is retried."""
 
 from typing import Any
 
@@ -19,8 +19,8 @@
 ZONE = "zone-a"
 
 
-class _Silent:
-    """Groups that say nothing, on a clock that each wait for them moves."""
+class _UnansweringGroups:
+    """Groups that never answer, on a clock that each timeout advances."""
 
     def __init__(self) -> None:
         self.now_s = 100.0
@@ -32,20 +32,20 @@
 
 class _Log:
     def write(self, decision: Decision) -> None:
-        """Take in a decision."""
+        """Discard a decision."""
 
 
 def _probe(group: int) -> None:
     raise NoQuorumError("silent")
 
 
-@given("a common group and a zone's group that are silent")
-def silent_groups(context: Context) -> None:
+@given("a common group and a zone's group that do not answer")
+def unanswering_groups(context: Context) -> None:
     views = GroupViews()
     for group in (COMMON, OWN):
         found = [Member(f"s{n}", f"d{n}", f"a{n}", ZONE) for n in range(3)]
         views.update(GroupView(group, 1, found, []))
-    context.client = _Silent()
+    context.client = _UnansweringGroups()
     client: Any = context.client
     log: Any = _Log()
     queues: Any = None
@@ -71,10 +71,10 @@
 
 @then("its common group counts as {reach}")
 def counts_as(context: Context, reach: str) -> None:
-    assert context.reach.is_unreachable(COMMON) is (reach == "out of reach")
+    assert context.reach.is_unreachable(COMMON) is (reach == "unreachable")
 
 
-@then("it is given up no later than {most_s:f} s behind that time")
-def withdrawn_keys(context: Context, most_s: float) -> None:
+@then("it fails no later than {most_s:f} s after that time")
+def fails_in_time(context: Context, most_s: float) -> None:
     late_s = context.client.now_s - context.end_s
     assert late_s <= most_s, late_s
--- a/features/steps/zone_cut_steps.py
+++ b/features/steps/zone_cut_steps.py
@@ -1,4 +1,4 @@
-"""Steps about budgets and turns in zones that are cut off."""
+"""Steps about budgets and turns in zones that are partitioned."""
 
 from collections.abc import Iterable, Mapping
 
@@ -22,8 +22,8 @@
 )
 from yarrowwall.replication.rounds import Amount
 
-#: A turn of a row: the most that it wants, what it emits of that in percent, and the zone it
-#: comes through.
+#: Turns: the most tokens that each may emit, the percentage that it emits, and the zone of its
+#: gateway.
 TURNS = st.lists(
     st.tuples(st.integers(0, 200), st.integers(0, 100), st.integers(0, 3)), max_size=25
 )
@@ -48,8 +48,8 @@
     check()
 
 
-@then("{count:d} random rows of turns over parts keep every part and the budget")
-def rows_of_turns_hold(context: Context, count: int) -> None:
+@then("{count:d} random sequences of turns exceed neither a part nor the budget")
+def sequences_of_turns_hold(context: Context, count: int) -> None:
     @derandomized(count)
     @drawn(st.integers(0, 1000), st.integers(1, 4), TURNS, st.data())
     def check(budget: int, zones: int, turns: list, data: st.DataObject) -> None:
@@ -85,8 +85,8 @@
     check()
 
 
-@then("{count:d} random pieces are spent and handed back without a token lost or gained")
-def pieces_are_spent(context: Context, count: int) -> None:
+@then("{count:d} random grants are spent and released without a token lost or gained")
+def grants_are_spent(context: Context, count: int) -> None:
     @derandomized(count)
     @drawn(
         st.dictionaries(st.integers(0, 5), st.integers(0, 500), min_size=1), st.integers(0, 3000)
@@ -107,18 +107,18 @@
     context.add_cleanup(mutant.__exit__, None, None, None)
 
 
-@then("{count:d} random zone schedules from seed {first:d} break no promise")
+@then("{count:d} random zone schedules from seed {first:d} violate no invariant")
 def zone_schedules_hold(context: Context, count: int, first: int) -> None:
     counts = run_zone_schedules(count, first)
-    # What the schedules are for has to happen in them.
+    # The schedules must exercise each of these events.
     for kind in ("answered", "402", "zone alone", "parts short", "TurnKeptInZone", "TurnCopied"):
         assert counts[kind] > count, f"{kind}: {counts[kind]} in {count} schedules"
 
 
-@then("some of {count:d} random zone schedules break a promise")
+@then("some of {count:d} random zone schedules violate an invariant")
 def zone_schedules_break(context: Context, count: int) -> None:
     try:
         run_zone_schedules(count)
     except AssertionError:
         return
-    raise AssertionError("the mutant was not caught")
+    raise AssertionError("the mutant was not detected")
--- a/features/support/zone_model.py
+++ b/features/support/zone_model.py
@@ -1,9 +1,9 @@
-"""Gateways, replicas and zones that are cut from one another, on a virtual clock.
+"""Gateways and replicas in zones that are partitioned from one another, on a virtual clock.
 
-The ledger, the quorum client, the replicas and their copying are the product's own code; links,
-disks and the one who changes groups are stand-ins. Zones are cut both ways or one way, gateways
-are killed, replicas lose power or their disks, groups change, and cuts heal in the middle of all
-that. What callers got is checked from outside.
+The ledger, the quorum client, the replicas and their synchronisation are production code. Links,
+disks and the coordinator of groups are simulated. Zones are partitioned in both directions or one,
+gateways are killed, replicas lose power or their disks, groups change, and partitions heal. The
+answers that callers got are checked from outside.
 """
 
 import random
@@ -31,20 +31,20 @@
 from yarrowwall.replication.views import all_members, disk_ids, is_zone_group, zone_of
 
 ZONES = ("a", "b", "c")
-MACHINES_A_ZONE = 2
-#: Replicas of a group that bears the loss of one machine.
+MACHINES_PER_ZONE = 2
+#: Replicas of a group that tolerates the loss of one machine.
 GROUP_SIZE = 3
-WAY_S = 0.002
+LATENCY_S = 0.002
 SYNC_S = 0.001
 LOSS = 0.01
-#: Seconds in which things happen, and quiet ones behind them in which all has to heal.
-PLAY_S = 14.0
-QUIET_S = 6.0
-UPKEEP_S = 0.4
+#: Seconds with programs and faults, and seconds without faults after them for recovery.
+ACTIVE_S = 14.0
+RECOVERY_S = 6.0
+HOUSEKEEPING_INTERVAL_S = 0.4
 TOKENS_PER_EVENT = 2
-MOST_TOKENS = 12
+MAX_TOKENS = 12
 BUDGETS = (30, 50, 100)
-#: Programs that run at once, and the most seconds that one lasts.
+#: Number of concurrent programs, and the most seconds that one lasts.
 CALLERS = 5
 PROGRAM_S = 4.0
 
@@ -58,7 +58,7 @@
         self.is_lost = False
 
     def persist(self, records: list[Any], done: Callable[[], None], refused: Any = None) -> None:
-        """Write log records a moment later, unless the machine loses power before."""
+        """Write log records after a short time, unless the machine loses power before."""
         eventlet.spawn_after(SYNC_S, self._write, records, done)
 
     def _write(self, records: list[Any], done: Callable[[], None]) -> None:
@@ -71,7 +71,7 @@
 
 
 class Machine:
-    """A storage machine with its two replicas: one of a common group, one of its zone's."""
+    """A storage machine with two replicas, one for a common group and one for its zone's group."""
 
     def __init__(self, world: "ZoneWorld", node_id: str, zone: str) -> None:
         self.world = world
@@ -79,7 +79,7 @@
         self.zone = zone
         self.disks_lost = 0
         self.disks: dict[bool, ModelDisk] = {}
-        self.copying: dict[bool, Synchroniser] = {}
+        self.synchronisers: dict[bool, Synchroniser] = {}
         for of_zone in (False, True):
             self._begin(of_zone, RecordReplica(node_id, self._disk_id(of_zone)), [])
 
@@ -89,9 +89,9 @@
     def _begin(self, of_zone: bool, replica: RecordReplica, log: list[Any]) -> None:
         disk = self.disks[of_zone] = ModelDisk(replica, log)
         links: Any = ModelLinks(self.world, self.zone)
-        lines: Any = self.world
-        self.copying[of_zone] = Synchroniser(disk, links, lines, now_s)  # type: ignore[arg-type]
-        self.copying[of_zone].start()
+        decision_log: Any = self.world
+        self.synchronisers[of_zone] = Synchroniser(disk, links, decision_log, now_s)  # type: ignore[arg-type]
+        self.synchronisers[of_zone].start()
 
     def member(self, of_zone: bool) -> Member:
         """Return the machine as a member of a group."""
@@ -99,7 +99,7 @@
         return Member(self.node_id, disk_id, self.node_id, self.zone)
 
     def lose_power(self) -> None:
-        """Start again from what is on the disks."""
+        """Restart from the logs on the disks."""
         for of_zone, disk in list(self.disks.items()):
             disk.is_lost = True
             replica = RecordReplica(self.node_id, disk.replica.disk_id)
@@ -107,14 +107,14 @@
             self._begin(of_zone, replica, disk.log)
 
     def lose_disk(self) -> None:
-        """Start again with empty disks."""
+        """Restart with empty disks."""
         self.disks_lost += 1
         for of_zone, disk in list(self.disks.items()):
             disk.is_lost = True
             self._begin(of_zone, RecordReplica(self.node_id, self._disk_id(of_zone)), [])
 
     def handle(self, request: Any, reply: Callable[[object], None]) -> None:
-        """Answer a request once what it leads to is on disk."""
+        """Answer a request once its records are on disk."""
         group = request.view.group if isinstance(request, InstallView) else request.group
         disk = self.disks[is_zone_group(group)]
         outcome = disk.replica.handle(request, now_s())
@@ -124,7 +124,7 @@
             reply(outcome.reply)
 
     def take_view(self, view: GroupView) -> None:
-        """Take in a view that the platform's store told."""
+        """Install a view from the platform's store."""
         disk = self.disks[is_zone_group(view.group)]
         known = disk.replica.view
         if disk.replica.disk_id in disk_ids(all_members(view)) or (
@@ -136,7 +136,7 @@
 
 
 class ModelLink:
-    """A link from a zone to a machine; what is sent over a cut is lost."""
+    """A link from a zone to a machine, which loses messages across a partition."""
 
     def __init__(self, links: "ModelLinks", node_id: str) -> None:
         self._links = links
@@ -149,34 +149,34 @@
         """Send a request."""
         self._number += 1
         self._waiting[self._number] = completion
-        eventlet.spawn_after(self._way_s(), self._arrive, self._number, message)
+        eventlet.spawn_after(self._latency_s(), self._arrive, self._number, message)
         return self._number
 
-    def _way_s(self) -> float:
-        return WAY_S * self._world.random.uniform(0.5, 3.0)
+    def _latency_s(self) -> float:
+        return LATENCY_S * self._world.random.uniform(0.5, 3.0)
 
     def _arrive(self, number: int, message: object) -> None:
         machine = self._world.machines[self._node_id]
-        if self._links.is_dead or not self._world.passes(self._links.zone, machine.zone):
+        if self._links.is_dead or not self._world.is_delivered(self._links.zone, machine.zone):
             return
         machine.handle(message, lambda reply: self._answer(number, machine.zone, reply))
 
     def _answer(self, number: int, zone: str, reply: object) -> None:
-        eventlet.spawn_after(self._way_s(), self._come_back, number, zone, reply)
+        eventlet.spawn_after(self._latency_s(), self._return_reply, number, zone, reply)
 
-    def _come_back(self, number: int, zone: str, reply: object) -> None:
-        if self._links.is_dead or not self._world.passes(zone, self._links.zone):
+    def _return_reply(self, number: int, zone: str, reply: object) -> None:
+        if self._links.is_dead or not self._world.is_delivered(zone, self._links.zone):
             return
         completion = self._waiting.pop(number, None)
         if completion is not None:
             completion(reply)
 
     def forget(self, number: int, is_late: bool = False) -> None:
-        """Wait no more for a reply."""
+        """Stop waiting for a reply."""
         self._waiting.pop(number, None)
 
     def note_late(self, number: int) -> None:
-        """Nothing follows from a late reply here."""
+        """Do nothing, since late replies do not matter here."""
 
     def call(self, message: object, timeout: float) -> object:
         """Send a request and return its reply."""
@@ -192,7 +192,7 @@
 class ModelLinks:
     """Links of one process.
 
-    :param zone: where it stands.
+    :param zone: The zone of the process.
     """
 
     def __init__(self, world: "ZoneWorld", zone: str) -> None:
@@ -220,62 +220,62 @@
         log: Any = world
         self.client = QuorumClient(zone, self.views, links, now_s)
         self.ledger = ReplicatedLedger(zone, self.views, self.client, log, now_s)
-        self.take_views()
-        eventlet.spawn_n(self._keep_house)
+        self.install_views()
+        eventlet.spawn_n(self._run_housekeeping)
 
     @property
     def is_dead(self) -> bool:
         """Return whether the gateway was killed."""
         return self.links.is_dead
 
-    def take_views(self) -> None:
-        """Take in the views of the platform's store."""
+    def install_views(self) -> None:
+        """Install the views from the platform's store."""
         for view in self.world.views.values():
             self.views.update(view)
 
-    def _keep_house(self) -> None:
+    def _run_housekeeping(self) -> None:
         while not self.is_dead:
-            eventlet.sleep(UPKEEP_S)
+            eventlet.sleep(HOUSEKEEPING_INTERVAL_S)
             if self.world.reaches_store(self.zone):
-                self.take_views()
+                self.install_views()
             self.ledger.probe()
 
 
 @dataclass
 class Turn:
-    """What is known from outside of one turn.
+    """One turn as seen from outside.
 
-    :param most: the most that it may count for until its settlement is recorded.
-    :param handed: tokens that its caller got.
+    :param max_tokens: The most tokens that it may count for until its settlement is recorded.
+    :param relayed: Tokens that its caller got.
     """
 
     attempt_id: str
     program_id: str
-    most: int
-    handed: int = 0
+    max_tokens: int
+    relayed: int = 0
     recorded_at: float | None = None
 
 
 @dataclass
 class Program:
-    """A program and what its callers know."""
+    """A program as seen by its callers."""
 
     program_id: str
     budget: int
     turns: list[Turn] = field(default_factory=list)
-    #: Whole prompts up to and with each answered turn.
-    kept: dict[str, bytes] = field(default_factory=dict)
+    #: The whole conversation up to and including each answered turn.
+    conversations: dict[str, bytes] = field(default_factory=dict)
 
     @property
-    def handed(self) -> int:
+    def relayed(self) -> int:
         """Return the tokens that its callers got."""
-        return sum(turn.handed for turn in self.turns)
+        return sum(turn.relayed for turn in self.turns)
 
 
 class ZoneWorld:
     """One random schedule.
 
-    :param seed: fixes every choice.
+    :param seed: Determines every random choice.
     """
 
     def __init__(self, seed: int) -> None:
@@ -285,7 +285,7 @@
         self.store_in_cut = self.random.random() < 0.5
         self.machines: dict[str, Machine] = {}
         for zone in ZONES:
-            for number in range(MACHINES_A_ZONE):
+            for number in range(MACHINES_PER_ZONE):
                 self.machines[f"{zone}{number}"] = Machine(self, f"{zone}{number}", zone)
         self.views: dict[int, GroupView] = {}
         common = [machine.member(False) for machine in self.machines.values()]
@@ -295,14 +295,14 @@
             *planner.first_zone_views(of_zones, GROUP_SIZE),
         ]:
             self.views[view.group] = view
-        self._tell_views()
+        self._publish_views()
         self.gateways = {zone: [Gateway(self, zone), Gateway(self, zone)] for zone in ZONES}
         self.programs: list[Program] = []
         self._attempts = 0
         self.violations: list[str] = []
 
     def write(self, decision: decisions.Decision) -> None:
-        """Count what the product logs."""
+        """Count logged decisions."""
         name = type(decision).__name__
         self.counts[name] += 1
         if isinstance(decision, decisions.PartsAsked):
@@ -311,9 +311,9 @@
 
     # Links, groups and disks
 
-    def passes(self, source: str, target: str) -> bool:
-        """Return whether a message goes from one zone to another now."""
-        is_lost = now_s() < PLAY_S and self.random.random() < LOSS
+    def is_delivered(self, source: str, target: str) -> bool:
+        """Return whether a message from one zone to another is delivered now."""
+        is_lost = now_s() < ACTIVE_S and self.random.random() < LOSS
         return (source, target) not in self.cuts and not is_lost
 
     def reaches_store(self, zone: str) -> bool:
@@ -321,57 +321,57 @@
         return self.store_in_cut or all(source != zone for source, _ in self.cuts)
 
     def cut(self, zone: str) -> None:
-        """Cut a zone from the others, both ways or one."""
-        ways = self.random.choice(("both", "both", "in", "out"))
+        """Partition a zone from the others, in both directions or one."""
+        directions = self.random.choice(("both", "both", "in", "out"))
         for other in ZONES:
-            if other != zone and ways != "in":
+            if other != zone and directions != "in":
                 self.cuts.add((zone, other))
-            if other != zone and ways != "out":
+            if other != zone and directions != "out":
                 self.cuts.add((other, zone))
 
-    def _tell_views(self) -> None:
+    def _publish_views(self) -> None:
         for machine in self.machines.values():
             if self.reaches_store(machine.zone):
                 for view in self.views.values():
                     machine.take_view(view)
 
     def change_groups(self) -> None:
-        """Begin or end changes of groups the way the coordinator does."""
+        """Begin or end changes of groups like the coordinator."""
         reached = {
             name: machine
             for name, machine in self.machines.items()
-            if self.reaches_store(machine.zone) and all(way[0] != machine.zone for way in self.cuts)
+            if self.reaches_store(machine.zone) and all(cut[0] != machine.zone for cut in self.cuts)
         }
         for group, view in list(self.views.items()):
             of_zone = is_zone_group(group)
-            able = {
+            available = {
                 name: machine
                 for name, machine in reached.items()
                 if not of_zone or machine.zone == zone_of(view)
             }
-            found = self._changed(view, able, of_zone)
+            found = self._changed(view, available, of_zone)
             if found is not None:
                 self.views[group] = found
-        self._tell_views()
+        self._publish_views()
 
     def _changed(
-        self, view: GroupView, able: dict[str, Machine], of_zone: bool
+        self, view: GroupView, available: dict[str, Machine], of_zone: bool
     ) -> GroupView | None:
-        replicas = [machine.disks[of_zone].replica for machine in able.values()]
+        replicas = [machine.disks[of_zone].replica for machine in available.values()]
         if view.joining:
             statuses = {replica.disk_id: replica.status() for replica in replicas}
             return planner.settled_view(view, statuses)
-        registered = {name: machine.member(of_zone) for name, machine in able.items()}
+        registered = {name: machine.member(of_zone) for name, machine in available.items()}
         busy = {
             disk
             for other in self.views.values()
             if is_zone_group(other.group) == of_zone
             for disk in disk_ids(all_members(other))
         }
-        return planner.next_view(view, registered, set(able), set(), busy, GROUP_SIZE)
+        return planner.next_view(view, registered, set(available), set(), busy, GROUP_SIZE)
 
     def lose_disk(self) -> None:
-        """Give one machine empty disks, if no group lacks one now."""
+        """Give one machine empty disks, if all groups are complete."""
         for view in self.views.values():
             of_zone = is_zone_group(view.group)
             for member in view.members:
@@ -384,18 +384,18 @@
 
     # The schedule
 
-    def play(self) -> None:
-        """Let everything happen, then heal and look at what was promised."""
+    def run(self) -> None:
+        """Run programs and faults, then let all recover and check the invariants."""
         for _ in range(CALLERS):
-            eventlet.spawn_n(self._call)
+            eventlet.spawn_n(self._run_programs)
         eventlet.spawn_n(self._change)
         eventlet.spawn_n(self._cut_zones)
-        while now_s() < PLAY_S:
+        while now_s() < ACTIVE_S:
             eventlet.sleep(self.random.expovariate(1.5))
-            self._disturb()
+            self._inject_fault()
         self.cuts.clear()
-        eventlet.sleep(QUIET_S)
-        self._check_kept()
+        eventlet.sleep(RECOVERY_S)
+        self._check_conversations()
 
     def _change(self) -> None:
         while True:
@@ -403,7 +403,7 @@
             self.change_groups()
 
     def _cut_zones(self) -> None:
-        while now_s() < PLAY_S:
+        while now_s() < ACTIVE_S:
             eventlet.sleep(self.random.uniform(0.5, 3.0))
             self.cut(self.random.choice(ZONES))
             if self.random.random() < 0.2:
@@ -411,7 +411,7 @@
             eventlet.sleep(self.random.uniform(0.3, 3.5))
             self.cuts.clear()
 
-    def _disturb(self) -> None:
+    def _inject_fault(self) -> None:
         chance = self.random.random()
         if chance < 0.2:
             self.machines[self.random.choice(sorted(self.machines))].lose_power()
@@ -422,111 +422,113 @@
             self.gateways[zone][0].links.is_dead = True
             self.gateways[zone] = [self.gateways[zone][1], Gateway(self, zone)]
 
-    def _call(self) -> None:
-        """Run one program after the other."""
-        while now_s() < PLAY_S:
+    def _run_programs(self) -> None:
+        """Run one program after another."""
+        while now_s() < ACTIVE_S:
             program = Program(f"p{len(self.programs)}", self.random.choice(BUDGETS))
             self.programs.append(program)
             end_s = now_s() + self.random.uniform(1.0, PROGRAM_S)
-            while now_s() < min(end_s, PLAY_S):
+            while now_s() < min(end_s, ACTIVE_S):
                 self._begin_turns(program)
                 eventlet.sleep(self.random.expovariate(2.5))
 
     def _begin_turns(self, program: Program) -> None:
-        """Begin a turn, or some at once as sub-agents do."""
+        """Begin a turn, or several at once like sub-agents."""
         home = self.random.choice(ZONES)
         for _ in range(self.random.choice((1, 1, 1, 3))):
             zone = home if self.random.random() < 0.7 else self.random.choice(ZONES)
-            eventlet.spawn_n(self._turn, program, self.random.choice(self.gateways[zone]))
+            eventlet.spawn_n(self._run_turn, program, self.random.choice(self.gateways[zone]))
 
-    def _turn(self, program: Program, gateway: Gateway) -> None:
+    def _run_turn(self, program: Program, gateway: Gateway) -> None:
         self._attempts += 1
-        turn = Turn(f"t{self._attempts}", program.program_id, MOST_TOKENS)
+        turn = Turn(f"t{self._attempts}", program.program_id, MAX_TOKENS)
         program.turns.append(turn)
-        previous = self.random.choice([None, *program.kept]) if program.kept else None
-        begun_at = now_s()
+        previous = (
+            self.random.choice([None, *program.conversations]) if program.conversations else None
+        )
+        started_at = now_s()
         attempt = _attempt(program, turn.attempt_id, previous)
         try:
             grant = gateway.ledger.open_turn(
-                attempt, ROUTE, TOKENS_PER_EVENT, lambda: begun_at + 5.0
+                attempt, ROUTE, TOKENS_PER_EVENT, lambda: started_at + 5.0
             )
         except BudgetExhaustedError:
             self.counts["402"] += 1
-            self._check_exhausted(program, turn, begun_at)
+            self._check_exhausted(program, turn, started_at)
         except TurnUnknownError:
-            self._violated(f"404 for {previous}")
+            self._note_violation(f"404 for {previous}")
         except StoreUncertainError:
             self.counts["503"] += 1
         else:
-            expected = program.kept.get(previous or "", b"") + attempt.body
-            self._check_first(program, grant.is_first, begun_at)
+            expected = program.conversations.get(previous or "", b"") + attempt.body
+            self._check_first(program, grant.is_first, started_at)
             if grant.body != expected:
-                self._violated(f"the prompt of {turn.attempt_id} is {grant.body!r}")
-            self._run(program, gateway, turn, grant, expected)
+                self._note_violation(f"the prompt of {turn.attempt_id} is {grant.body!r}")
+            self._relay_turn(program, gateway, turn, grant, expected)
         self._await_record(gateway, turn)
 
-    def _run(
+    def _relay_turn(
         self, program: Program, gateway: Gateway, turn: Turn, grant: Any, prompt: bytes
     ) -> None:
-        passed: list[Event] = []
+        events: list[Event] = []
         try:
-            for number in range(self.random.randint(1, MOST_TOKENS // TOKENS_PER_EVENT)):
+            for number in range(self.random.randint(1, MAX_TOKENS // TOKENS_PER_EVENT)):
                 eventlet.sleep(self.random.uniform(0.0, 0.05))
                 data = f"{turn.attempt_id}.{number}"
-                passed.append(Event(f"data: {data}\n\n".encode(), str(number)))
-                grant.ensure_granted(passed)
+                events.append(Event(f"data: {data}\n\n".encode(), str(number)))
+                grant.ensure_granted(events)
                 if gateway.is_dead:
                     return
-                turn.handed += TOKENS_PER_EVENT
-                if program.handed > program.budget:
-                    self._violated(f"{program.handed} of {program.budget} tokens handed out")
-            grant.complete(passed, "server")
+                turn.relayed += TOKENS_PER_EVENT
+                if program.relayed > program.budget:
+                    self._note_violation(f"{program.relayed} of {program.budget} tokens relayed")
+            grant.complete(events, "server")
             if not gateway.is_dead:
-                output = b"".join(event.data + b"\n" for event in passed)
-                program.kept[turn.attempt_id] = prompt + output
+                output = b"".join(event.data + b"\n" for event in events)
+                program.conversations[turn.attempt_id] = prompt + output
                 self.counts["answered"] += 1
         except StoreUncertainError:
             self.counts["broken off"] += 1
         finally:
-            grant.close(passed, "server")
+            grant.close(events, "server")
 
     def _await_record(self, gateway: Gateway, turn: Turn) -> None:
-        """Note when all that a turn left to be written is written."""
-        while not gateway.is_dead and now_s() < PLAY_S + QUIET_S:
+        """Note when all queued records of a turn are written."""
+        while not gateway.is_dead and now_s() < ACTIVE_S + RECOVERY_S:
             if not gateway.ledger.has_unsettled:
                 turn.recorded_at = now_s()
                 return
             eventlet.sleep(0.05)
 
-    # What must hold
+    # Invariants
 
-    def _violated(self, text: str) -> None:
+    def _note_violation(self, text: str) -> None:
         self.violations.append(f"at {now_s():.3f}: {text}")
 
-    def _check_exhausted(self, program: Program, turn: Turn, begun_at: float) -> None:
-        """A 402 is true: the budget does not hold the turn beside all that may still count."""
+    def _check_exhausted(self, program: Program, turn: Turn, started_at: float) -> None:
+        """Check that a refused turn does not fit in addition to all that may still count."""
         used = 0
         for other in program.turns:
             if other is turn:
                 continue
-            is_recorded = other.recorded_at is not None and other.recorded_at < begun_at
-            used += other.handed if is_recorded else other.most
-        if used + turn.most <= program.budget:
-            self._violated(f"402 for {turn.attempt_id}, {used} of {program.budget} are used")
+            is_recorded = other.recorded_at is not None and other.recorded_at < started_at
+            used += other.relayed if is_recorded else other.max_tokens
+        if used + turn.max_tokens <= program.budget:
+            self._note_violation(f"402 for {turn.attempt_id}, {used} of {program.budget} are used")
 
-    def _check_first(self, program: Program, is_first: bool, begun_at: float) -> None:
-        """A turn is no program's first one if another's tokens are recorded anywhere."""
+    def _check_first(self, program: Program, is_first: bool, started_at: float) -> None:
+        """Check that a turn is not granted as the first if another one's tokens are recorded."""
         for other in program.turns:
-            is_recorded = other.recorded_at is not None and other.recorded_at < begun_at
-            if is_first and is_recorded and other.handed:
-                self._violated(f"{program.program_id} counts as new after {other.attempt_id}")
+            is_recorded = other.recorded_at is not None and other.recorded_at < started_at
+            if is_first and is_recorded and other.relayed:
+                self._note_violation(f"{program.program_id} counts as new after {other.attempt_id}")
 
-    def _check_kept(self) -> None:
-        """Every answered turn is found from every zone by a gateway that has seen nothing."""
+    def _check_conversations(self) -> None:
+        """Check that new gateways in every zone find every answered turn."""
         for zone in ZONES:
             gateway = Gateway(self, zone)
             for program in self.programs:
-                for attempt_id, prompt in program.kept.items():
+                for attempt_id, prompt in program.conversations.items():
                     self._check_found(gateway, program, attempt_id, prompt)
 
     def _check_found(
@@ -538,10 +540,10 @@
         try:
             grant = gateway.ledger.open_turn(attempt, ROUTE, TOKENS_PER_EVENT, lambda: end_s)
         except (TurnUnknownError, StoreUncertainError) as error:
-            self._violated(f"{attempt_id} is not found at the end: {error!r}")
+            self._note_violation(f"{attempt_id} is not found at the end: {error!r}")
             return
         if grant.body != prompt + attempt.body:
-            self._violated(f"{attempt_id} has another history at the end")
+            self._note_violation(f"{attempt_id} has another history at the end")
         grant.close([], "server")
 
 
@@ -551,24 +553,24 @@
 
 
 def _attempt(program: Program, attempt_id: str, previous: str | None) -> Attempt:
-    context = ProgramContext(program.program_id, program.budget, MOST_TOKENS, previous, None)
+    context = ProgramContext(program.program_id, program.budget, MAX_TOKENS, previous, None)
     body = f"input of {attempt_id};".encode()
     return Attempt(attempt_id, "POST", "/talk/x", "host", [], body, now_s(), now_s() + 5.0, context)
 
 
 def run_zone_schedules(count: int, first: int = 0) -> Counter[str]:
-    """Run schedules; return what happened in all of them.
+    """Run schedules and return the counts of their events.
 
-    :raises AssertionError: naming the seed, if a promise was broken.
+    :raises AssertionError: With the seed, if an invariant was violated.
     """
     counts: Counter[str] = Counter()
     for seed in range(first, first + count):
-        counts += run_virtually(lambda seed=seed: _play(seed))
+        counts += run_virtually(lambda seed=seed: _run_schedule(seed))
     return counts
 
 
-def _play(seed: int) -> Counter[str]:
+def _run_schedule(seed: int) -> Counter[str]:
     world = ZoneWorld(seed)
-    world.play()
+    world.run()
     assert not world.violations, f"seed {seed}: {world.violations[:3]}"
     return world.counts
--- a/features/support/zone_mutants.py
+++ b/features/support/zone_mutants.py
@@ -1,4 +1,4 @@
-"""Ways to break budgets and turns in a zone that is cut off; the schedules have to find each."""
+"""Mutants of budgets and turns in a partitioned zone, each to be detected by the schedules."""
 
 from collections.abc import Callable, Mapping
 from contextlib import AbstractContextManager
@@ -26,11 +26,11 @@
 _WRITERS = quorum_client.WRITERS
 
 
-def _hands_all_back(pieces: Mapping[int, int], tokens: int) -> dict[int, int]:
+def _release_all(pieces: Mapping[int, int], tokens: int) -> dict[int, int]:
     return {group: 0 if is_zone_group(group) else held for group, held in pieces.items()}
 
 
-def _whole_rest_to_each(budget: int, zones: int) -> BudgetParts:
+def _share_to_each_zone(budget: int, zones: int) -> BudgetParts:
     parts = _divide(budget, zones)
     return BudgetParts(parts.common, budget - parts.common_group)
 
@@ -39,12 +39,12 @@
     return BudgetParts(budget, _divide(budget, zones).per_zone)
 
 
-def _overlooks_running(self: PartReading) -> int:
+def _ignore_running_turns(self: PartReading) -> int:
     settled = [claim for claim in self.others.values() if claim.version == ClaimState.SETTLED]
     return max(0, min(self.asked, self.size - sum(claim.tokens for claim in settled)))
 
 
-def _lowers_too_far(
+def _lower_too_far(
     self: Reservations,
     group: int,
     reservation: Any,
@@ -56,13 +56,13 @@
     return _record(self, group, reservation, state, lowered, server)
 
 
-def _everyone_was_asked(
+def _treat_all_as_asked(
     readings: Mapping[int, PartReading], key: str, wanted: int, unread: int
 ) -> Verdict:
     return _judge(readings, key, wanted, 0)
 
 
-def _common_alone(self: TurnStore, key: str, retention_s: float) -> _ChainLookup:
+def _ask_common_group_only(self: TurnStore, key: str, retention_s: float) -> _ChainLookup:
     group = self._group_of(key)
     try:
         return _ChainLookup(self._read_from(group, key), [])
@@ -70,69 +70,69 @@
         return _ChainLookup([], [group], str(error))
 
 
-def _silence_is_no(self: TurnStore, key: str, retention_s: float) -> _ChainLookup:
+def _treat_silence_as_missing(self: TurnStore, key: str, retention_s: float) -> _ChainLookup:
     found = _find_turns(self, key, retention_s)
     return found._replace(unanswered=[])
 
 
-def _more_without_a_claim(
+def _reserve_without_claim(
     self: ReplicatedLedger, held: TurnReservations, budget: int, needed: int, end: Any
 ) -> None:
     claim = held.next_claim(held.missing_tokens)
     held.add(Reservation(claim, {claim.common_group: claim.tokens}, claim.tokens, "", False))
 
 
-def _kept_in_memory(self: TurnStore, pending: Any, own: int, timeout_s: float) -> None:
+def _store_in_memory(self: TurnStore, pending: Any, own: int, timeout_s: float) -> None:
     self._copier.add([pending.turn], pending.retention_s, is_urgent=False)
 
 
-def _one_disk_of_the_zone(view: Any, disks: Any) -> bool:
+def _one_disk_is_enough(view: Any, disks: Any) -> bool:
     return bool(disks) if is_zone_group(view.group) else _WRITERS.is_made_by(view, disks)
 
 
 MUTANTS: dict[str, Callable[[], AbstractContextManager[Any]]] = {
-    "hands a piece back that was spent": lambda: patch.object(
-        reservations, "allocate_spent", _hands_all_back
+    "releases tokens that were spent": lambda: patch.object(
+        reservations, "allocate_spent", _release_all
     ),
-    "gives what zones share to each of them": lambda: patch.object(
-        reservations, "divide_budget", _whole_rest_to_each
+    "grants the zones' whole share to each of them": lambda: patch.object(
+        reservations, "divide_budget", _share_to_each_zone
     ),
-    "lets the common group grant what zones hold": lambda: patch.object(
+    "lets the common group grant the zones' parts": lambda: patch.object(
         reservations, "divide_budget", _common_grants_all
     ),
-    "grants a piece twice while its turn runs": lambda: patch.object(
-        PartReading, "free", property(_overlooks_running)
+    "grants tokens twice while their turn runs": lambda: patch.object(
+        PartReading, "free", property(_ignore_running_turns)
     ),
-    "records less than a turn may take": lambda: patch.object(
-        Reservations, "_record", _lowers_too_far
+    "records less than a turn may emit": lambda: patch.object(
+        Reservations, "_record", _lower_too_far
     ),
-    "passes on more than was granted": lambda: patch.object(
+    "relays more than was granted": lambda: patch.object(
         LedgerGrant, "ensure_granted", lambda self, passed: None
     ),
-    "goes on beyond a short grant without a claim": lambda: patch.object(
-        ReplicatedLedger, "reserve_more", _more_without_a_claim
+    "continues beyond a short grant without a claim": lambda: patch.object(
+        ReplicatedLedger, "reserve_more", _reserve_without_claim
     ),
-    "says 402 although a zone was not asked": lambda: patch.object(
-        reservations, "decide_grant", _everyone_was_asked
+    "answers 402 although a zone was not asked": lambda: patch.object(
+        reservations, "decide_grant", _treat_all_as_asked
     ),
-    "says 404 without asking the zones": lambda: patch.object(
-        TurnStore, "_find_turns", _common_alone
+    "answers 404 without asking the zones": lambda: patch.object(
+        TurnStore, "_find_turns", _ask_common_group_only
     ),
-    "says 404 although a group was not asked": lambda: patch.object(
-        TurnStore, "_find_turns", _silence_is_no
+    "answers 404 although a group was not asked": lambda: patch.object(
+        TurnStore, "_find_turns", _treat_silence_as_missing
     ),
-    "takes a turn for kept that waits to be copied": lambda: patch.object(
-        TurnStore, "_store_in_zone", _kept_in_memory
+    "treats a turn as stored that waits to be copied": lambda: patch.object(
+        TurnStore, "_store_in_zone", _store_in_memory
     ),
-    "leaves no trace of turns that a zone served": lambda: patch.object(
+    "leaves no record of turns that a zone served": lambda: patch.object(
         budget_requests.GroupState, "is_unused", property(lambda self: self.tokens == 0)
     ),
-    "takes one disk of the zone for enough": lambda: patch.object(
+    "treats one disk of the zone as a quorum": lambda: patch.object(
         quorum_client,
         "WRITERS",
         Quorum(
-            _one_disk_of_the_zone,
-            lambda view, found: _one_disk_of_the_zone(view, found.acknowledged),
+            _one_disk_is_enough,
+            lambda view, found: _one_disk_is_enough(view, found.acknowledged),
         ),
     ),
 }
--- a/features/zone_cuts.feature
+++ b/features/zone_cuts.feature
@@ -1,64 +1,64 @@
-Feature: A zone that is cut off goes on, breaks no budget and loses no turn
+Feature: A zone that is cut off keeps serving, exceeds no budget and loses no turn
   A budget is divided beforehand between the common group and the groups of the zones. Gateways
-  and replicas run their own code on a virtual clock while zones are cut off both ways or one
-  way, gateways are killed, replicas lose power or disks, groups change and cuts heal meanwhile.
+  and replicas run production code on a virtual clock while zones are partitioned in both directions
+  or one, gateways are killed, replicas lose power or disks, groups change and partitions heal.
 
-  Scenario: The parts of a budget make up the budget, in any division
+  Scenario: The parts of a budget add up to the budget, in any division
     Then 500 random budgets are divided without a token lost or gained
 
-  Scenario: Turns in any order take no more than a part holds, and 402 is true
-    Then 500 random rows of turns over parts keep every part and the budget
+  Scenario: Turns in any order take no more than a part holds, and 402 is correct
+    Then 500 random sequences of turns exceed neither a part nor the budget
 
-  Scenario: What turns spent and hand back makes up what they took
-    Then 500 random pieces are spent and handed back without a token lost or gained
+  Scenario: Spent and released tokens add up to the granted ones
+    Then 500 random grants are spent and released without a token lost or gained
 
-  Scenario: A program that goes on although its budget is spent costs one question a turn
-    Given a program with 272 tokens whose turns emit all that they may
-    And it has run until its budget was spent
-    When it asks for 40 turns more
-    Then each is told that it is spent, by one question to its common group
+  Scenario: A program that continues although its budget is exhausted costs one request a turn
+    Given a program with 272 tokens whose turns emit as much as they may
+    And it has run until its budget was exhausted
+    When it requests 40 more turns
+    Then each is refused as exhausted, by one request to its common group
 
-  Scenario: A silent zone is no reason to wait if its part could not hold the turn
-    Given a program with 272 tokens whose turns emit all that they may
+  Scenario: A zone that does not answer is not waited for if its part is too small for the turn
+    Given a program with 272 tokens whose turns emit as much as they may
     When 1 turns have run
-    And the group of zone 2 falls silent
-    Then the next turn is told granted
-    And the next turn is told spent
+    And the group of zone 2 stops answering
+    Then the outcome of the next turn is granted
+    And the outcome of the next turn is exhausted
 
-  Scenario: A silent zone whose part could hold the turn leaves it uncertain
-    Given a program with 2720 tokens whose turns emit all that they may
-    When the group of zone 3 falls silent
+  Scenario: A zone that does not answer leaves a turn uncertain if its part is large enough for it
+    Given a program with 2720 tokens whose turns emit as much as they may
+    When the group of zone 3 stops answering
     And 18 turns have run
-    Then the next turn is told uncertain
+    Then the outcome of the next turn is uncertain
 
-  # Guards against tokens that stay claimed for a turn whose caller left while they were asked for.
-  Scenario: A turn whose caller leaves while it asks for tokens hands them back
-    Given a program with 272 tokens whose turns emit all that they may
-    When the caller of a turn leaves while it waits for its common group
+  # Guards against tokens that stay claimed after a caller disconnects during the reservation.
+  Scenario: A turn whose caller disconnects during its reservation releases its tokens
+    Given a program with 272 tokens whose turns emit as much as they may
+    When the caller of a turn disconnects while it waits for its common group
     And 2 turns have run
-    Then the next turn is told spent
-
-  # Guards against tokens that stay claimed for a turn whose caller left once they were granted.
-  Scenario: A turn whose caller leaves before it is sent hands its tokens back
-    Given a program with 272 tokens whose turns emit all that they may
-    When the caller of a turn that was granted leaves before it is sent
-    Then its tokens are handed back
-
-  # Guards against a stream cut although the group that failed its further claim was back at once.
-  Scenario: A turn that needs more tokens asks a group again that failed under its claim
-    Given a program with 272 tokens whose turns emit all that they may
-    And one of its turns was granted the part of its zone alone
-    When its common group is back but does not answer its next claim
-    Then the turn gets all that it may emit within 0.8 s
-
-  # Guards against a stream cut since it asked for all that it might emit, where the budget held
-  # what it did emit.
-  Scenario Outline: A turn whose rest is not to be had gets what its next events take: others are <others>
-    Given a program with 272 tokens whose turns emit all that they may
-    And one of its turns was granted the part of its zone alone
+    Then the outcome of the next turn is exhausted
+
+  # Guards against tokens that stay claimed after a caller disconnects once they were granted.
+  Scenario: A turn whose caller disconnects before it is sent releases its tokens
+    Given a program with 272 tokens whose turns emit as much as they may
+    When the caller of a granted turn disconnects before it is sent
+    Then its tokens are released
+
+  # Guards against a stream aborted although the group that failed its further claim recovered at once.
+  Scenario: A turn that needs more tokens asks a group again that failed during its claim
+    Given a program with 272 tokens whose turns emit as much as they may
+    And one of its turns was granted only the part of its zone
+    When its common group recovers but does not answer its next claim
+    Then the turn is granted all its tokens within 0.8 s
+
+  # Guards against a stream aborted because it claimed all that it might emit, although the budget
+  # was large enough for what it did emit.
+  Scenario Outline: A turn that cannot get all its tokens gets those for its next events: others are <others>
+    Given a program with 272 tokens whose turns emit as much as they may
+    And one of its turns was granted only the part of its zone
     And another turn holds 120 tokens of the common part and the parts of zones that are <others>
-    When its common group is back
-    Then the turn gets 50 tokens within 3.0 s, some at a time
+    When its common group recovers
+    Then the turn is granted 50 tokens within 3.0 s, some at a time
     And no more than 272 tokens are granted to both
 
     Examples:
@@ -66,16 +66,16 @@
       | spent      |
       | silent     |
 
-  # Guards against turns that begin with a part of their tokens, and may be cut for it, while the
-  # group that they lack starts again.
-  Scenario: A turn waits a moment for a group that it lacks tokens of
-    Given a program with 272 tokens whose turns emit all that they may
+  # Guards against turns that start with only some of their tokens, and may be aborted for that, while
+  # the group that has the others restarts.
+  Scenario: A turn waits briefly for a group that it needs tokens from
+    Given a program with 272 tokens whose turns emit as much as they may
     And 1 turn has run
-    When the group of zone 1 falls silent for 300 ms
-    Then the next turn is granted all that it may emit
+    When the group of zone 1 stops answering for 300 ms
+    Then the next turn is granted all its tokens
 
-  Scenario Outline: Random schedules of cut zones, seeds from <first>
-    Then 12 random zone schedules from seed <first> break no promise
+  Scenario Outline: Random schedules of partitioned zones, seeds from <first>
+    Then 12 random zone schedules from seed <first> violate no invariant
 
     Examples:
       | first |
@@ -84,28 +84,28 @@
       | 24    |
       | 36    |
 
-  Scenario Outline: The schedules catch a ledger that "<mutant>"
+  Scenario Outline: The schedules detect a ledger that "<mutant>"
     Given the zone ledger's mutant "<mutant>"
-    Then some of 24 random zone schedules break a promise
+    Then some of 24 random zone schedules violate an invariant
 
     Examples:
-      | mutant                                         |
-      | hands a piece back that was spent              |
-      | gives what zones share to each of them         |
-      | lets the common group grant what zones hold    |
-      | grants a piece twice while its turn runs       |
-      | records less than a turn may take              |
-      | passes on more than was granted                |
-      | goes on beyond a short grant without a claim   |
-      | says 402 although a zone was not asked         |
-      | says 404 without asking the zones              |
-      | says 404 although a group was not asked        |
-      | takes a turn for kept that waits to be copied  |
-      | leaves no trace of turns that a zone served    |
-      | takes one disk of the zone for enough          |
+      | mutant                                          |
+      | releases tokens that were spent                 |
+      | grants the zones' whole share to each of them   |
+      | lets the common group grant the zones' parts    |
+      | grants tokens twice while their turn runs       |
+      | records less than a turn may emit               |
+      | relays more than was granted                    |
+      | continues beyond a short grant without a claim  |
+      | answers 402 although a zone was not asked       |
+      | answers 404 without asking the zones            |
+      | answers 404 although a group was not asked      |
+      | treats a turn as stored that waits to be copied |
+      | leaves no record of turns that a zone served    |
+      | treats one disk of the zone as a quorum         |
 
   @zoned_world
-  Scenario: Programs go on in a zone that is cut off, and their turns are found afterwards
+  Scenario: Programs continue in a zone that is cut off, and their turns are found afterwards
     Given a stream route "talk" whose server sends 4 events
     And a stateful stream route "chat" whose server sends 2 events
     And each zone has a group of its own
