--- a/features/quota_proof.feature
+++ b/features/quota_proof.feature
@@ -38,11 +38,11 @@
 
     Examples:
       | count | age | epoch | issues |
-      | 2     | 0.4 | 1     | yes   |
-      | 2     | 1.5 | 1     | yes   |
-      | 2     | 1.7 | 1     | no    |
-      | 1     | 0.4 | 1     | no    |
-      | 4     | 0.4 | 2     | no    |
+      | 2     | 0.4 | 1     | yes    |
+      | 2     | 1.5 | 1     | yes    |
+      | 2     | 1.7 | 1     | no     |
+      | 1     | 0.4 | 1     | no     |
+      | 4     | 0.4 | 2     | no     |
 
   Scenario: The shares of all issuers add up to the limit, however small it is
     Then for limits of 0 to 40 requests the shares of five issuers add up to the limit
--- a/features/steps/promise_steps.py
+++ b/features/steps/promise_steps.py
@@ -24,7 +24,7 @@
 from yarrowwall.standalone.simulation.observer import Promise
 from yarrowwall.standalone.simulation.world import RunSettings, World
 
-#: Seeds tried, for both deployments, until a mutant is caught.
+#: Number of seeds tried for each deployment until a mutant is detected.
 MUTANT_SEEDS = 16
 ALL_FAULTS = tuple(FaultKind)
 
@@ -116,19 +116,19 @@
 
 
 @then("some simulation breaks a promise that the mutant is about")
-def mutant_caught(context: Context) -> None:
+def mutant_detected(context: Context) -> None:
     mutant = MUTANTS[context.mutant_name]
     seen: set[str] = set()
     for seed in range(1, MUTANT_SEEDS + 1):
         for deployment in sorted(DEPLOYMENTS):
             world = World(run_settings(deployment, seed, mutant.faults))
-            # Where the core notices by itself, only what the observer saw counts.
+            # The core may notice the fault itself, but only the observer's violations count.
             with suppress(CoreError, KeyError):
                 world.run()
             seen |= {line.split()[0] for line in world.observer.violations}
             if seen & set(mutant.breaks):
                 return
-    raise AssertionError(f"not caught in {MUTANT_SEEDS} seeds a deployment; seen: {seen}")
+    raise AssertionError(f"not detected in {MUTANT_SEEDS} seeds a deployment; seen: {seen}")
 
 
 @given("a node with configuration {version:d} in force")
--- a/features/steps/spent_budget_steps.py
+++ b/features/steps/spent_budget_steps.py
@@ -263,7 +263,7 @@
     for group, held in {COMMON: tokens, **dict.fromkeys(ZONE_GROUPS[1:], part)}.items():
         key = "budget/looper/other"
         groups.keep(group, StoredRecord(key, 1, "looper", "", RETENTION_SECONDS, held, b""))
-    groups.silent = {COMMON, *(ZONE_GROUPS[1:] if others == "silent" else [])}
+    groups.silent = {COMMON, *(ZONE_GROUPS[1:] if others == "unresponsive" else [])}
     context.held_by_other = tokens + part * len(ZONE_GROUPS[1:])
 
 
--- a/features/steps/zone_cut_steps.py
+++ b/features/steps/zone_cut_steps.py
@@ -30,7 +30,7 @@
 
 
 def _settled(parts: Iterable[Mapping[str, Amount]]) -> int:
-    claims = [claim for held in parts for claim in held.values()]
+    claims = [claim for claims in parts for claim in claims.values()]
     return sum(claim.tokens for claim in claims if claim.version == ClaimState.SETTLED)
 
 
@@ -55,32 +55,35 @@
     def check(budget: int, zones: int, turns: list, data: st.DataObject) -> None:
         parts = divide_budget(budget, zones)
         sizes = {0: parts.common} | dict.fromkeys(range(1, zones + 1), parts.per_zone)
-        held: dict[int, dict[str, Amount]] = {group: {} for group in sizes}
-        for number, (wanted, share, zone) in enumerate(turns):
-            asked = data.draw(st.sets(st.sampled_from(sorted(sizes)), min_size=1))
-            own = 1 + zone % zones
-            order = sorted(asked, key=lambda group, own=own: (group != 0, group != own, group))
+        by_group: dict[int, dict[str, Amount]] = {group: {} for group in sizes}
+        for number, (wanted, emitted_percent, zone) in enumerate(turns):
+            answering = data.draw(st.sets(st.sampled_from(sorted(sizes)), min_size=1))
+            own_group = 1 + zone % zones
+            order = sorted(
+                answering,
+                key=lambda group, own_group=own_group: (group != 0, group != own_group, group),
+            )
             readings = {
-                group: PartReading(sizes[group], wanted, dict(held[group])) for group in order
+                group: PartReading(sizes[group], wanted, dict(by_group[group])) for group in order
             }
-            unread = sum(size for group, size in sizes.items() if group not in asked)
+            unread = sum(size for group, size in sizes.items() if group not in answering)
             verdict = decide_grant(readings, f"t{number:03}", wanted, unread)
-            used = sum(claim.tokens for claims in held.values() for claim in claims.values())
+            used = sum(claim.tokens for claims in by_group.values() for claim in claims.values())
             if verdict is Verdict.EXHAUSTED:
                 assert used + wanted > budget
             if is_permanently_exhausted(readings, wanted, unread):
-                settled = _settled(held.values())
+                settled = _settled(by_group.values())
                 assert settled + wanted > budget
                 assert verdict is Verdict.EXHAUSTED
             if verdict not in (Verdict.GRANTED, Verdict.SHORT):
                 continue
             pieces = pieces_to_take(readings, wanted)
-            emitted = sum(pieces.values()) * share // 100
+            emitted = sum(pieces.values()) * emitted_percent // 100
             state = data.draw(st.sampled_from((ClaimState.GRANTED, ClaimState.SETTLED)))
             counted = allocate_spent(pieces, emitted) if state is ClaimState.SETTLED else pieces
             for group, tokens in counted.items():
-                held[group][f"t{number:03}"] = Amount(state, tokens)
-                assert sum(claim.tokens for claim in held[group].values()) <= sizes[group]
+                by_group[group][f"t{number:03}"] = Amount(state, tokens)
+                assert sum(claim.tokens for claim in by_group[group].values()) <= sizes[group]
 
     check()
 
@@ -95,7 +98,7 @@
         spent = allocate_spent(pieces, tokens)
         assert sum(spent.values()) == tokens
         if tokens <= sum(pieces.values()):
-            assert all(spent[group] <= held for group, held in pieces.items())
+            assert all(spent[group] <= granted for group, granted in pieces.items())
 
     check()
 
--- a/features/support/cut_machine.py
+++ b/features/support/cut_machine.py
@@ -1,6 +1,7 @@
-"""Runs a machine that can be cut off: frames to the addresses in a file are lost.
+"""Runs a machine that can be partitioned: frames to the addresses in a file are lost.
 
-Its command in place of ``python3 -m yarrowwall.platform``; the file is ``cut`` beside the settings.
+This replaces the command ``python3 -m yarrowwall.platform``. The file is next to the settings, with
+the suffix ``.cut``.
 """
 
 import os
@@ -14,16 +15,16 @@
 from yarrowwall.platform import __main__ as platform_main
 from yarrowwall.platform import names
 
-_CUT = Path(os.environ[names.SETTINGS_VARIABLE]).with_suffix(".cut")
+_CUT_FILE = Path(os.environ[names.SETTINGS_VARIABLE]).with_suffix(".cut")
 _patch_sockets = eventlet_setup.patch_sockets
 
 
 def _is_cut(address: str) -> bool:
-    return _CUT.exists() and address in _CUT.read_text().split()
+    return _CUT_FILE.exists() and address in _CUT_FILE.read_text().split()
 
 
 def _patch() -> None:
-    """Let links lose what they send; the machine notices nothing but silence."""
+    """Let links lose frames silently, so that the machine only sees missing answers."""
     _patch_sockets()
     from yarrowwall.exceptions import ConnectTimeoutError
     from yarrowwall.replication import rpc
@@ -31,7 +32,7 @@
     open_socket = rpc.open_socket
     send = rpc.FrameChannel.send
 
-    def open_or_wait(address: str, timeout: float) -> Any:
+    def open_or_time_out(address: str, timeout: float) -> Any:
         if _is_cut(address):
             eventlet.sleep(timeout)
             raise ConnectTimeoutError(address)
@@ -45,7 +46,7 @@
         if not _is_cut(f"{host}:{port}"):
             send(self, number, message)
 
-    rpc.open_socket = open_or_wait
+    rpc.open_socket = open_or_time_out
     rpc.FrameChannel.send = send_or_lose  # type: ignore[method-assign]
 
 
--- a/features/support/cut_world.py
+++ b/features/support/cut_world.py
@@ -1,4 +1,4 @@
-"""The platform of stand-ins with gateways that can be cut off from replicas."""
+"""The simulated platform with gateways that can be partitioned from replicas."""
 
 import sys
 
@@ -6,7 +6,7 @@
 
 
 class CutWorld(PlatformWorld):
-    """Machines of which gateways lose what they send to some addresses."""
+    """Machines whose gateways can lose the frames that they send to some addresses."""
 
     def __init__(self, gateways: int = 3) -> None:
         super().__init__(gateways=gateways)
@@ -18,12 +18,12 @@
         return super().command(name)
 
     def cut_off(self, gateway: int) -> None:
-        """Cut a gateway off from all replicas."""
+        """Partition a gateway from all replicas."""
         addresses = [
             own["peer"] for name, own in self.addresses.items() if name.startswith("storage")
         ]
         (self.folder / f"edge-{gateway}.cut").write_text("\n".join(addresses))
 
     def heal(self, gateway: int) -> None:
-        """End a gateway's cut."""
+        """End the partition of a gateway."""
         (self.folder / f"edge-{gateway}.cut").unlink()
--- a/features/support/mutants.py
+++ b/features/support/mutants.py
@@ -1,8 +1,7 @@
-"""Mutants of the core: each removes one protecting step.
+"""Mutants of the core, each of which removes one protection.
 
-A mutant is a set of replaced methods; a check that no mutant turns red is not
-a check. Every mutant names the promises of which one at least must be seen
-broken.
+A mutant is a set of replaced methods. Mutants show that the checks can fail. Each one names the
+promises of which at least one must be violated.
 """
 
 from contextlib import ExitStack, contextmanager
@@ -28,20 +27,25 @@
 from yarrowwall.standalone.simulation.faults import FaultKind
 from yarrowwall.standalone.simulation.observer import Promise
 
-#: Two nodes that each take themselves for the owner.
-SPLITS = (FaultKind.FREEZE, FaultKind.ZONE_CUT, FaultKind.ONE_WAY_CUT, FaultKind.MESSAGE_FAULTS)
+#: Faults that let two nodes each consider themselves the owner.
+SPLIT_FAULTS = (
+    FaultKind.FREEZE,
+    FaultKind.ZONE_CUT,
+    FaultKind.ONE_WAY_CUT,
+    FaultKind.MESSAGE_FAULTS,
+)
 
 
 @dataclass(frozen=True)
 class Mutant:
-    """Replaced methods, the promises they must break, and the faults that show it."""
+    """Replaced methods, the promises that they must break, and the faults to inject."""
 
     breaks: tuple[Promise, ...]
     replacements: tuple[tuple[Any, str, Any], ...]
     faults: tuple[FaultKind, ...] = tuple(FaultKind)
 
 
-def _append_whatever_the_ballot(self, request):
+def _append_for_any_ballot(self, request):
     log = self._log(request.program_id)
     log.promised = min(log.promised, request.ballot)
     return _handle_append(self, request)
@@ -75,7 +79,7 @@
     self._outbox.emit(self._outbox.reply_effect(pending.route, reply))
 
 
-def _nothing(self, *arguments):
+def _do_nothing(self, *arguments):
     return None
 
 
@@ -88,7 +92,7 @@
     self._on_change(document)
 
 
-def _in_force_at_once(self, document):
+def _apply_at_once(self, document):
     self.apply(document)
 
 
@@ -96,11 +100,11 @@
     self._has_fetched = True
 
 
-def _usable_though_leaving(self, now, model):
+def _usable_while_leaving(self, now, model):
     return self.report is not None and model in self.report.models
 
 
-def _endless_budget(self):
+def _unlimited_budget(self):
     return 10**12
 
 
@@ -108,7 +112,7 @@
     self._queue_request(now, pending, request)
 
 
-def _take_a_broken_stream_for_whole(self, now, event):
+def _treat_broken_stream_as_complete(self, now, event):
     if event.fault is EngineFault.BROKEN:
         self.handle_completed(now, EngineCompleted(event.key, "part of", "stop", 1, 0, 1))
     else:
@@ -133,7 +137,7 @@
     return True
 
 
-def _go_on_after_the_lease(self, now):
+def _continue_after_the_lease(self, now):
     return self._term > 0
 
 
@@ -152,10 +156,10 @@
 MUTANTS = {
     "replicas accept any ballot": Mutant(
         (Promise.HISTORY, Promise.AT_MOST_ONCE, Promise.WHOLE_ANSWER, Promise.ORDER),
-        ((JournalReplica, "handle_append", _append_whatever_the_ballot),),
-        SPLITS,
+        ((JournalReplica, "handle_append", _append_for_any_ballot),),
+        SPLIT_FAULTS,
     ),
-    "sent before the dispatch is chosen": Mutant(
+    "requests are sent before the dispatch is chosen": Mutant(
         (Promise.AT_MOST_ONCE,),
         ((ProgramOwner, "start_after_dispatch", _start_before_dispatch_is_chosen),),
     ),
@@ -166,7 +170,7 @@
     "an older ballot's tail is kept": Mutant(
         (Promise.HISTORY, Promise.AT_MOST_ONCE, Promise.ORDER),
         ((ReplicaLog, "accept", _keep_the_old_tail),),
-        SPLITS,
+        SPLIT_FAULTS,
     ),
     "effects do not wait for a quorum": Mutant(
         (Promise.HISTORY, Promise.WHOLE_ANSWER, Promise.AT_MOST_ONCE, Promise.NOT_RUN),
@@ -176,32 +180,33 @@
         (Promise.NOT_RUN,), ((ProgramOwner, "_refuse", _refuse_unjournalled),)
     ),
     "releases are forgotten": Mutant(
-        (Promise.RELEASED,), ((ProgramOwner, "_release_all", _nothing),)
+        (Promise.RELEASED,), ((ProgramOwner, "_release_all", _do_nothing),)
     ),
     "the drain is skipped": Mutant(
         (Promise.PLANNED_STOP,), ((NodeCore, "_handle_drain", _stop_at_once),)
     ),
-    "older configurations are taken": Mutant(
+    "older configurations are applied": Mutant(
         (Promise.CONFIGURATION,), ((DocumentTable, "apply", _take_any_version),)
     ),
-    "configurations in force before a majority has them": Mutant(
+    "configurations take effect before a majority has them": Mutant(
         (Promise.CONFIGURATION,),
         (
-            (DocumentTable, "secure", _in_force_at_once),
+            (DocumentTable, "secure", _apply_at_once),
             (DocumentTable, "handle_fetched", _ready_at_once),
         ),
     ),
     "leaving engines are used": Mutant(
-        (Promise.LEAVING,), ((EngineView, "is_usable", _usable_though_leaving),)
+        (Promise.LEAVING,), ((EngineView, "is_usable", _usable_while_leaving),)
     ),
     "budgets are not checked": Mutant(
-        (Promise.BUDGET,), ((ProgramState, "available_tokens", _endless_budget),)
+        (Promise.BUDGET,), ((ProgramState, "available_tokens", _unlimited_budget),)
     ),
     "calls are admitted in any order": Mutant(
         (Promise.ORDER,), ((ProgramOwner, "_admit", _admit_in_any_order),)
     ),
-    "broken streams are taken for whole": Mutant(
-        (Promise.WHOLE_ANSWER,), ((ProgramOwner, "handle_failed", _take_a_broken_stream_for_whole),)
+    "broken streams count as complete": Mutant(
+        (Promise.WHOLE_ANSWER,),
+        ((ProgramOwner, "handle_failed", _treat_broken_stream_as_complete),),
     ),
     "lost attempts run again": Mutant(
         (Promise.AT_MOST_ONCE,), ((ProgramOwner, "_handle_lost", _run_lost_attempts_again),)
@@ -210,13 +215,13 @@
         (Promise.CONFIGURATION,),
         (
             (EngineModel, "order", _obey_any_term),
-            (Controller, "holds_lease", _go_on_after_the_lease),
+            (Controller, "holds_lease", _continue_after_the_lease),
         ),
         (FaultKind.FREEZE, FaultKind.KILL),
     ),
-    "controllers go on after their lease": Mutant(
+    "controllers continue after their lease": Mutant(
         (),
-        ((Controller, "holds_lease", _go_on_after_the_lease),),
+        ((Controller, "holds_lease", _continue_after_the_lease),),
         (FaultKind.FREEZE, FaultKind.KILL),
     ),
     "a shard map is finished before the logs are copied": Mutant(
@@ -235,7 +240,7 @@
 
 @contextmanager
 def applied(name: str):
-    """Run with a mutant in place of the core."""
+    """Apply a mutant to the core."""
     with ExitStack() as stack:
         for target, attribute, replacement in MUTANTS[name].replacements:
             stack.enter_context(patch.object(target, attribute, replacement))
--- a/features/support/zone_model.py
+++ b/features/support/zone_model.py
@@ -506,7 +506,7 @@
         self.violations.append(f"at {now_s():.3f}: {text}")
 
     def _check_exhausted(self, program: Program, turn: Turn, started_at: float) -> None:
-        """Check that a refused turn does not fit in addition to all that may still count."""
+        """Check that a turn refused with 402 does not fit along with all that may still count."""
         used = 0
         for other in program.turns:
             if other is turn:
--- a/features/zone_cuts.feature
+++ b/features/zone_cuts.feature
@@ -62,9 +62,9 @@
     And no more than 272 tokens are granted to both
 
     Examples:
-      | others     |
-      | spent      |
-      | silent     |
+      | others       |
+      | exhausted    |
+      | unresponsive |
 
   # Guards against turns that start with only some of their tokens, and may be aborted for that, while
   # the group that has the others restarts.
--- a/yarrowwall/quotas/issuer_lease.py
+++ b/yarrowwall/quotas/issuer_lease.py
@@ -62,7 +62,7 @@
         return self._view is not None and self._disk_id in disk_ids(self._view.members)
 
     def install_view(self, view: GroupView, now_s: float) -> None:
-        """Install a view of the group unless it is older than the current one."""
+        """Install a view of the group if it is newer than the current one."""
         known = self._view
         if known is not None and view.epoch <= known.epoch:
             return
