--- a/features/steps/zone_cut_steps.py
+++ b/features/steps/zone_cut_steps.py
@@ -30,7 +30,7 @@
 
 
 def _settled(parts: Iterable[Mapping[str, Amount]]) -> int:
-    claims = [claim for claims in parts for claim in claims.values()]
+    claims = [claim for part in parts for claim in part.values()]
     return sum(claim.tokens for claim in claims if claim.version == ClaimState.SETTLED)
 
 
