--- a/features/steps/spent_budget_steps.py
+++ b/features/steps/spent_budget_steps.py
@@ -236,8 +236,8 @@
     gateway = Mock()
     gateway.active_requests = set()
     gateway.components.programs.open_turn.return_value = context.grant
-    gateway.components.dispatch.loads.ask.return_value.wait.side_effect = CallerDisconnectedError(
-        "left"
+    gateway.components.dispatch.loads.request_loads.return_value.wait.side_effect = (
+        CallerDisconnectedError("left")
     )
     exchange = Exchange(gateway, {"eventlet.input": Mock()}, Mock())
     try:
--- a/features/support/zone_mutants.py
+++ b/features/support/zone_mutants.py
@@ -32,7 +32,7 @@
 
 def _share_to_each_zone(budget: int, zones: int) -> BudgetParts:
     parts = _divide(budget, zones)
-    return BudgetParts(parts.common, budget - parts.common_group)
+    return BudgetParts(parts.common, budget - parts.common)
 
 
 def _common_grants_all(budget: int, zones: int) -> BudgetParts:
