--- a/yarrowwall/quotas/issuer_lease.py
+++ b/yarrowwall/quotas/issuer_lease.py
@@ -3,8 +3,8 @@
 A replaced replica may not know that it was replaced if it is cut off from the other replicas but
 still reachable by some gateways. It therefore issues only while a majority of its group has
 recently confirmed, in answers to its requests, that they know no newer view of the group. A
-replica that joins a group waits until every permit that the replaced one may have issued has
-expired.
+replica that joins a group waits until the permits that the replaced one may have issued no longer
+count against the limits.
 """
 
 from collections.abc import Mapping
@@ -19,7 +19,7 @@
 #: Seconds for which an answer of another replica counts, from the time its request was sent. Four
 #: requests are sent in that time, so one lost answer does not end the lease.
 LEASE_SECONDS = 1.6
-#: Allowance in seconds for clock drift while permits issued earlier expire.
+#: Allowance in seconds for clock drift while waiting until earlier permits no longer count.
 CLOCK_MARGIN_SECONDS = 0.3
 #: Epochs that one change of members takes: one for the joint view and one for the final view. A
 #: replica that sees a larger step may have been outside the group in between.
@@ -68,7 +68,7 @@
             return
         was_member = self._is_member
         if known is None and view.epoch > FIRST_EPOCH:
-            # After a restart the earlier views are unknown: an empty one gives the last rank.
+            # The earlier views are unknown, as after a restart: an empty one gives the last rank.
             known = GroupView(view.group, 0, [], [])
         if known is not None:
             self._previous.append(_PreviousGroup(known, now_s + self._wait_s))
@@ -114,8 +114,8 @@
         """Return the rank of this disk among the group's issuers for a tenant, from 0.
 
         After a change of members, the worst rank in the current and the recent views is used until
-        permits of the earlier views have expired: the issuer that held the better rank before may
-        have issued permits by it.
+        permits issued in the earlier views no longer count: the issuer that held the better rank
+        before may have issued permits by it.
         """
         self._previous = [group for group in self._previous if group.counted_until_s > now_s]
         previous_ranks = [self._rank_in(group.view, tenant) for group in self._previous]
