--- a/features/steps/reach_steps.py
+++ b/features/steps/reach_steps.py
@@ -292,13 +292,13 @@
 
 @given("{count:d} gateways in {zones:d} zones that ask for neighbours")
 def ask_board(context: Context, count: int, zones: int) -> None:
-    context.board = NeighbourRegistry()
+    context.registry = NeighbourRegistry()
     context.gateways = [
         Neighbour(f"edge-{number:03d}", f"zone-{number % zones}", f"10.0.0.{number}:1")
         for number in range(count)
     ]
     for _ in range(2):
-        context.told = {one: context.board.ask(one, 0.0) for one in context.gateways}
+        context.told = {one: context.registry.register(one, 0.0) for one in context.gateways}
 
 
 @then("each is told 4 of its zone and 1 of another")
@@ -318,8 +318,8 @@
 def ask_no_more(context: Context, seconds: float) -> None:
     staying = [one for one in context.gateways if one.zone != "zone-0"]
     for one in staying:
-        context.board.ask(one, seconds)
-    context.told = {one: context.board.ask(one, seconds) for one in staying}
+        context.registry.register(one, seconds)
+    context.told = {one: context.registry.register(one, seconds) for one in staying}
 
 
 @then("nobody is told of them")
--- a/features/support/coordinated_group.py
+++ b/features/support/coordinated_group.py
@@ -59,7 +59,7 @@
         """Take in an answer of each machine."""
         others = [known for known in self.registered.values() if known.node_id != OWN]
         for known in [] if self.are_silent else others:
-            self._heard(known, time.monotonic(), self.status(known.disk_id))
+            self._handle_reply(known, time.monotonic(), self.status(known.disk_id))
 
     def status(self, disk_id: str) -> StatusReply:
         """Return the state of a disk that holds all that its group had completed."""
--- a/features/support/detour_model.py
+++ b/features/support/detour_model.py
@@ -243,7 +243,7 @@
         for host in cut:
             eventlet.sleep(self.rng.uniform(2.0, 3.0))
             table = self.world.tables[host.node_id]
-            neighbour = table.paths.useful_neighbour(now_s(), [])
+            neighbour = table.paths.available_neighbour(now_s(), [])
             if neighbour is not None and self.world.hosts[neighbour.node_id] not in cut:
                 self.world.kill(self.world.hosts[neighbour.node_id])
 
@@ -385,7 +385,7 @@
             world.forwarders[first] = ForwardHandler(world.tables[first], lambda address: False)
             world.cut_off(host)
             eventlet.sleep(seconds)
-            useful = table.paths.useful_neighbour(now_s(), [])
+            useful = table.paths.available_neighbour(now_s(), [])
             age_s = now_s() - max(proof.proved_s for proof in host.proved)
             is_passed_over = useful is None or useful.node_id != first
             return Refusal(table.relayed[first], is_passed_over, age_s)
--- a/features/support/record_mutants.py
+++ b/features/support/record_mutants.py
@@ -47,7 +47,7 @@
     def start(self) -> None:
         """Put the mutant in place."""
         self._patches.enter_context(patch.object(planner, "settled_view", _settled_at_once))
-        self._patches.enter_context(patch.object(RecordReplica, "_take_view", _takes_view))
+        self._patches.enter_context(patch.object(RecordReplica, "_apply_view", _takes_view))
 
     def stop(self) -> None:
         """Take the mutant away."""
@@ -69,7 +69,7 @@
     ),
     "ends a change of the group without a copy": _CopyNothing,
     "empties a machine whatever copies are left": lambda: patch.object(
-        planner, "_fewest_copies", lambda group, size: 0
+        planner, "_min_copies", lambda group, size: 0
     ),
     "removes a machine before its copies are elsewhere": lambda: patch.object(
         RecordSchedule, "is_emptied", _is_not_wanted
--- a/features/support/zone_mutants.py
+++ b/features/support/zone_mutants.py
@@ -23,7 +23,7 @@
 _judge = budget_parts.judge
 _record = Reservations._record
 _look_everywhere = TurnStore._look_everywhere
-_WRITERS = quorum_client.WRITERS
+_WRITE_QUORUM = quorum_client.WRITE_QUORUM
 
 
 def _hands_all_back(pieces: Mapping[int, int], tokens: int) -> dict[int, int]:
@@ -87,7 +87,9 @@
 
 
 def _one_disk_of_the_zone(view: Any, disks: Any) -> bool:
-    return bool(disks) if is_zone_group(view.group) else _WRITERS.is_made_by(view, disks)
+    return (
+        bool(disks) if is_zone_group(view.group) else _WRITE_QUORUM.is_reached_by_disks(view, disks)
+    )
 
 
 MUTANTS: dict[str, Callable[[], AbstractContextManager[Any]]] = {
@@ -129,7 +131,7 @@
     ),
     "takes one disk of the zone for enough": lambda: patch.object(
         quorum_client,
-        "WRITERS",
+        "WRITE_QUORUM",
         Quorum(
             _one_disk_of_the_zone,
             lambda view, found: _one_disk_of_the_zone(view, found.acknowledged),
--- a/yarrowwall/machine/replica_requests.py
+++ b/yarrowwall/machine/replica_requests.py
@@ -73,7 +73,7 @@
             case ReturnQuota():
                 self._lending.give_back(request)
             case AskNeighbours():
-                neighbours = self._neighbours.ask(request.gateway, time.monotonic())
+                neighbours = self._neighbours.register(request.gateway, time.monotonic())
                 reply(NeighboursReply(neighbours))
             case ListObjects() | WatchObjects():
                 self._reader.ask(request, reply)
--- a/yarrowwall/replication/__init__.py
+++ b/yarrowwall/replication/__init__.py
@@ -1,7 +1,7 @@
-"""The replicated record store: records with one writer each, on a majority of a group.
+"""The replicated record store: each record has one writer and is stored on a write quorum.
 
-A record is complete once a majority of its group has it on disk. Readers ask so many
-replicas that they share one with every majority. There is no leader; what needs an
-order (token budgets) writes first and reads afterwards, see
-:mod:`yarrowwall.replication.budget`.
+A record is complete once a write quorum of its group has it on disk. A read asks a read quorum,
+which shares a replica with every write quorum. There is no leader: operations that need an
+order (token budgets) write a reservation first and read the others afterwards, see
+:mod:`yarrowwall.budgets.reservations`.
 """
--- a/yarrowwall/replication/coordinator.py
+++ b/yarrowwall/replication/coordinator.py
@@ -1,8 +1,8 @@
-"""Changes of the groups: who replaces whom, agreed through the platform's store.
+"""Proposes membership changes of the replica groups through the platform's store.
 
-Every machine with a disk may propose a change; a compare-and-set on the object that
-holds all views lets one proposal win. The machine first in the order of names acts at
-once, the others only if nothing happened for a while.
+Every machine with a disk may propose a change; a compare-and-set on the object that holds all
+views lets one proposal win. The machines propose in the order of their names: the first one at
+once, each other one only if the change has not been made a while later.
 """
 
 from collections.abc import Callable
@@ -41,26 +41,27 @@
 from yarrowwall.replication.replica import RecordReplica
 from yarrowwall.replication.views import all_members, disk_ids, is_zone_group, zone_of
 
-#: Seconds between looks at the groups.
-LOOK_SECONDS = 0.2
-#: Seconds after the start of a new system in which machines register.
-FIRST_START_SECONDS = 1.5
-#: Seconds in which a new system waits for as many machines as a group wants.
-FIRST_START_PATIENCE_SECONDS = 6.0
-#: Seconds without a new machine after which a new system holds all to be there, within that
-#: patience: a zone none of whose machines were there in time never gets a group of its own.
-FIRST_START_STEADY_SECONDS = 1.0
-#: Seconds that the store has to tell which views are the newest.
-NEWEST_SECONDS = 0.5
-#: Seconds by which each machine waits for the one before it in the order.
-TURN_SECONDS = 1.0
+#: Seconds between checks whether a group needs a change.
+CHECK_INTERVAL_SECONDS = 0.2
+#: Least seconds after the start of a new system before the first views are proposed.
+FIRST_START_MIN_SECONDS = 1.5
+#: Most seconds that a new system waits for as many machines as a group should have.
+FIRST_START_MAX_SECONDS = 6.0
+#: Seconds without a new registration after which a new system counts as complete, within that
+#: limit. A zone whose machines all register later never gets a group of its own.
+FIRST_START_STABLE_SECONDS = 1.0
+#: Timeout in seconds for reading the newest views from the platform's store.
+STORE_TIMEOUT_SECONDS = 0.5
+#: Seconds that each machine waits longer than the one before it in the order.
+PROPOSER_STAGGER_SECONDS = 1.0
 
 
 class MachineReplicas(NamedTuple):
-    """The replicas of a machine.
+    """The replicas of this machine.
 
     :param zone_name: the machine's zone.
-    :param zone: the replica of that zone's own group.
+    :param common: the replica for a common group.
+    :param zone: the replica for the zone's own group.
     """
 
     zone_name: str
@@ -71,18 +72,18 @@
 class _Proposal(NamedTuple):
     """New views of all groups.
 
-    :param zone: whose machines alone propose them; empty for any machine.
+    :param zone: the zone whose machines may propose them; empty for machines of any zone.
     """
 
     views: list[GroupView]
     zone: str
 
 
-class _Known(NamedTuple):
-    """What is known of the machines at one look.
+class _ClusterState(NamedTuple):
+    """State of the machines at one check.
 
-    :param alive: those that answered lately.
-    :param statuses: the newest state of each disk whose machine is alive.
+    :param alive: node ids of the machines that answered recently.
+    :param statuses: the newest status of each disk whose machine is alive.
     :param busy: disks that are members of any group.
     """
 
@@ -94,11 +95,15 @@
 class Coordinator:
     """Proposes changes of the groups.
 
-    Those of a zone's own group are proposed by machines of that zone alone: only they ask one
-    another for the states of its replicas.
+    A change of a zone's own group is proposed only by machines of that zone, since only they
+    ask each other for the status of its replicas.
 
+    :param now: the monotonic clock.
     :param wants_first_views: whether the system starts for the first time.
-    :param size: replicas wanted in a group.
+    :param size: target number of replicas in a group.
+    :ivar has_registrations: whether all registrations were listed once; until then nothing is
+        proposed.
+    :ivar retiring: node ids of machines that are being retired.
     """
 
     def __init__(
@@ -122,26 +127,26 @@
         self._wants_first_views = wants_first_views
         self._size = size
         self._started_at = now()
-        self._needed_since: float | None = None
-        self._first_members: set[str] = set()
-        self._first_members_at = now()
+        self._change_needed_since: float | None = None
+        self._seen_members: set[str] = set()
+        self._seen_members_at = now()
         self._groups: StoredObject | None = None
-        self._groups_known_at = now()
+        self._groups_updated_at = now()
         self._views: list[GroupView] = []
         self.has_registrations = False
         self.retiring: set[str] = set()
 
     def start(self) -> None:
-        """Begin to look after the groups."""
+        """Start checking the groups in the background."""
         eventlet.spawn_n(self._run)
 
     def update_groups(self, item: StoredObject) -> None:
-        """Take in the newest views of all groups."""
+        """Apply the stored views of all groups unless newer ones are known."""
         views = read_groups(item)
         is_newer = self._groups is None or self._groups.revision < item.revision
         if views is not None and is_newer:
             self._groups = item
-            self._groups_known_at = self._now()
+            self._groups_updated_at = self._now()
             self._views = views
 
     def views(self) -> list[GroupView]:
@@ -150,42 +155,42 @@
 
     def _run(self) -> None:
         while True:
-            eventlet.sleep(LOOK_SECONDS)
+            eventlet.sleep(CHECK_INTERVAL_SECONDS)
             try:
-                self._look()
+                self._check()
             except ObjectStoreError as error:
                 self._log.write(decisions.DependencyChanged("store/groups", False, str(error)))
-                eventlet.sleep(LOOK_SECONDS)
+                eventlet.sleep(CHECK_INTERVAL_SECONDS)
 
-    def _look(self) -> None:
+    def _check(self) -> None:
         if not self.has_registrations:
             return
         proposed = self._first_views() if self._groups is None else self._next_views()
         if proposed is None:
-            self._needed_since = None
-        elif self._is_own_turn(proposed):
+            self._change_needed_since = None
+        elif self._may_propose(proposed):
             self._propose(proposed.views)
-        self._note_losses()
+        self._log_losses()
 
-    def _note_losses(self) -> None:
-        """Log which groups of this machine have lost all copies of their records."""
-        disks = self._peers.disks_since(self._groups_known_at)
+    def _log_losses(self) -> None:
+        """Log each group of this machine that has lost all copies of its records."""
+        disks = self._peers.disks_confirmed_since(self._groups_updated_at)
         disks[self._node_id] = self._own.common.disk_id
         lost = [
             view
             for view in self._views
             if any(member.node_id == self._node_id for member in view.members)
             and has_lost_all(view, disks)
-            and not self._notices.knows_lost(view.group)
+            and not self._notices.is_loss_logged(view.group)
         ]
-        if lost and self._are_newest():
+        if lost and self._has_newest_views():
             for view in lost:
-                self._notices.note_lost(view)
+                self._notices.log_loss(view)
 
-    def _are_newest(self) -> bool:
-        """Ask the store whether the known views are the newest; take in newer ones."""
+    def _has_newest_views(self) -> bool:
+        """Return whether the known views are the store's newest; apply newer ones."""
         known = self._groups
-        item = self._store.get(GROUPS_KIND, GROUPS_NAME, NEWEST_SECONDS)
+        item = self._store.get(GROUPS_KIND, GROUPS_NAME, STORE_TIMEOUT_SECONDS)
         if item is not None:
             self.update_groups(item)
         return known is not None and item is not None and item.revision == known.revision
@@ -195,86 +200,86 @@
             return None
         alive = self._peers.alive()
         members = [member for node, member in self._peers.registered.items() if node in alive]
-        is_steady = self._is_steady(members)
+        is_stable = self._is_stable(members)
         waited = self._now() - self._started_at
-        # A group that starts too small holds its first records on too few disks.
-        is_whole = waited >= FIRST_START_SECONDS and len(members) >= self._size and is_steady
-        if not members or (waited < FIRST_START_PATIENCE_SECONDS and not is_whole):
+        # A group that starts with too few members stores its first records on too few disks.
+        is_complete = waited >= FIRST_START_MIN_SECONDS and len(members) >= self._size and is_stable
+        if not members or (waited < FIRST_START_MAX_SECONDS and not is_complete):
             return None
         zone_disks = [member for node, member in self._peers.zone_disks.items() if node in alive]
         views = first_views(members, self._size) + first_zone_views(zone_disks, self._size)
         return _Proposal(views, "")
 
-    def _is_steady(self, members: list[Member]) -> bool:
-        """Return whether no further machine has come for a while."""
+    def _is_stable(self, members: list[Member]) -> bool:
+        """Return whether no further machine has registered for a while."""
         names = {member.node_id for member in members}
-        if names != self._first_members:
-            self._first_members = names
-            self._first_members_at = self._now()
-        return self._now() - self._first_members_at >= FIRST_START_STEADY_SECONDS
+        if names != self._seen_members:
+            self._seen_members = names
+            self._seen_members_at = self._now()
+        return self._now() - self._seen_members_at >= FIRST_START_STABLE_SECONDS
 
     def _next_views(self) -> _Proposal | None:
-        """Return all views with one changed; None if none needs a change."""
+        """Return all views with one of them changed; None if no group needs a change."""
         views = self.views()
-        known = self._known(views)
+        state = self._cluster_state(views)
         for index, view in enumerate(views):
-            changed = self._next_view(view, known)
+            changed = self._next_view(view, state)
             if changed is not None:
                 zone = zone_of(view) if is_zone_group(view.group) else ""
                 return _Proposal([*views[:index], changed, *views[index + 1 :]], zone)
         return None
 
-    def _known(self, views: list[GroupView]) -> _Known:
+    def _cluster_state(self, views: list[GroupView]) -> _ClusterState:
         own = (self._own.common.status(), self._own.zone.status())
         busy = {disk for view in views for disk in disk_ids(all_members(view))}
-        return _Known(self._peers.alive(), self._peers.statuses(own), busy)
+        return _ClusterState(self._peers.alive(), self._peers.statuses(own), busy)
 
-    def _next_view(self, view: GroupView, known: _Known) -> GroupView | None:
+    def _next_view(self, view: GroupView, state: _ClusterState) -> GroupView | None:
         if not is_zone_group(view.group):
-            return self._changed(view, known, self._peers.registered)
+            return self._next_group_view(view, state, self._peers.registered)
         if zone_of(view) != self._own.zone_name:
             return None
-        changed = self._changed(view, known, self._peers.disks_of(self._own.zone_name))
+        changed = self._next_group_view(view, state, self._peers.disks_of(self._own.zone_name))
         return changed or ended_view(view, self._own.zone, self.retiring)
 
-    def _changed(
-        self, view: GroupView, known: _Known, registered: dict[str, Member]
+    def _next_group_view(
+        self, view: GroupView, state: _ClusterState, registered: dict[str, Member]
     ) -> GroupView | None:
-        """Return the view that follows on one; None if it may stay.
+        """Return the successor of a view; None if the view stays.
 
-        :param registered: the disks for that kind of groups.
+        :param registered: the machines with their disks for this kind of group, by node id.
         """
-        settled = settled_view(view, known.statuses) if view.joining else None
-        if settled is not None or not is_ready_to_change(view, known.statuses):
+        settled = settled_view(view, state.statuses) if view.joining else None
+        if settled is not None or not is_ready_to_change(view, state.statuses):
             return settled
         if view.joining:
             return revised_view(view, registered)
-        return self._settled_change(view, known, registered)
+        return self._next_settled_view(view, state, registered)
 
-    def _settled_change(
-        self, view: GroupView, known: _Known, registered: dict[str, Member]
+    def _next_settled_view(
+        self, view: GroupView, state: _ClusterState, registered: dict[str, Member]
     ) -> GroupView | None:
-        """Return the view that begins a change; note a retirement that waits for a substitute."""
-        group = (view, registered, known.alive, self.retiring, known.busy, self._size)
+        """Return the view that begins a change; log a retirement that lacks a replacement."""
+        group = (view, registered, state.alive, self.retiring, state.busy, self._size)
         changed = next_view(*group)
         if self._node_id not in self.retiring:
-            self._notices.forget_held()
+            self._notices.clear_blocked()
         elif changed is None:
-            self._notices.note_held(blocked_retirement(*group))
+            self._notices.note_blocked(blocked_retirement(*group))
         return changed
 
-    def _is_own_turn(self, proposal: _Proposal) -> bool:
+    def _may_propose(self, proposal: _Proposal) -> bool:
         now = self._now()
-        if self._needed_since is None:
-            self._needed_since = now
-        able = {
+        if self._change_needed_since is None:
+            self._change_needed_since = now
+        candidates = {
             node
             for node, member in self._peers.registered.items()
             if proposal.zone in ("", member.zone)
         }
-        order = sorted(self._peers.alive() & able)
-        place = order.index(self._node_id) if self._node_id in order else len(order)
-        return now - self._needed_since >= place * TURN_SECONDS
+        order = sorted(self._peers.alive() & candidates)
+        position = order.index(self._node_id) if self._node_id in order else len(order)
+        return now - self._change_needed_since >= position * PROPOSER_STAGGER_SECONDS
 
     def _propose(self, views: list[GroupView]) -> None:
         spec = groups_spec(views)
@@ -287,7 +292,7 @@
         except ConflictError:
             return
         finally:
-            self._needed_since = None
+            self._change_needed_since = None
         self.update_groups(item)
         for view in views:
             self._log.write(
--- a/yarrowwall/replication/disk.py
+++ b/yarrowwall/replication/disk.py
@@ -1,4 +1,4 @@
-"""A replica with its log on disk, which may hold what others keep there beside records."""
+"""A replica with its log on disk; a subclass may keep further kinds of records in the log."""
 
 from collections.abc import Callable, Iterator, Sequence
 from pathlib import Path
@@ -13,8 +13,8 @@
 from yarrowwall.storage.journal_writer import JournalWriter
 from yarrowwall.storage.segments import SegmentStore
 
-#: Segments after which the log is written anew without what is obsolete.
-SEGMENTS_KEPT = 2
+#: Number of segments above which the log is compacted.
+MAX_SEGMENTS = 2
 SEGMENT_BYTES = 16 * 1024 * 1024
 _LOG_FOLDER = "records"
 
@@ -24,20 +24,21 @@
 class RecordDisk:
     """A replica of the record store with its log on disk.
 
-    :ivar replica: its state machine.
+    :ivar replica: the replica's state machine.
     """
 
     def __init__(self, node_id: str, folder: Path, log: DecisionLog) -> None:
         self._log = log
         self._folder = folder
         self.replica = self._open(node_id)
-        self._writer = JournalWriter(self._store, self._refused)
+        self._writer = JournalWriter(self._store, self._note_write_error)
 
     def _open(self, node_id: str) -> RecordReplica:
         try:
             return self._restore(node_id)
         except CorruptSegmentError as error:
-            # Acknowledged records are lost: this disk must not count as the old one.
+            # Acknowledged records are lost, so the disk gets a new id: under the old one it
+            # would count as a copy of them.
             self._log.write(decisions.ProcessChanged("disk given up", str(error)))
             identity.discard(self._folder)
             for path in (self._folder / _LOG_FOLDER).iterdir():
@@ -50,69 +51,76 @@
         replica = RecordReplica(node_id, disk_id)
         clock = read_clock()
         replica.restore(
-            self._restore_other_records(disk_id, self._own_records(), clock), clock.wall_s
+            self._restore_other_records(disk_id, self._log_records(), clock), clock.wall_s
         )
         self.replica = replica
-        if self._store.segment_count() > SEGMENTS_KEPT:
+        if self._store.segment_count() > MAX_SEGMENTS:
             self._store.compact(self._snapshot())
         return replica
 
-    def _own_records(self) -> Iterator[DiskRecord]:
+    def _log_records(self) -> Iterator[DiskRecord]:
         for record in self._store.read():
             if not isinstance(record, DiskRecord):
-                raise CorruptSegmentError(f"a {type(record).__name__} among the records")
+                raise CorruptSegmentError(f"unexpected record {type(record).__name__} in the log")
             yield record
 
     def _restore_other_records(
         self, disk_id: str, records: Iterator[DiskRecord], clock: Clock
     ) -> Iterator[LogRecord]:
-        """Take in what concerns no records; return what does."""
+        """Restore the state of other kinds of log records; yield those of the record store.
+
+        Subclasses that keep such state override this.
+        """
         for record in records:
             if not isinstance(record, LogRecord):
-                raise CorruptSegmentError(f"a {type(record).__name__} among the records")
+                raise CorruptSegmentError(f"unexpected record {type(record).__name__} in the log")
             yield record
 
     def _snapshot(self) -> list[DiskRecord]:
-        """Return a log that restores all state."""
+        """Return log records that restore the whole state."""
         return list(self.replica.snapshot())
 
-    def _refused(self, error: Exception) -> bool:
+    def _note_write_error(self, error: Exception) -> bool:
         self._log.write(decisions.DependencyChanged("disk", False, str(error)))
         return True
 
     def persist(
         self,
         records: Sequence[DiskRecord],
-        done: Callable[[], None] = lambda: None,
-        refused: Callable[[], None] = lambda: None,
+        on_durable: Callable[[], None] = lambda: None,
+        on_failed: Callable[[], None] = lambda: None,
     ) -> None:
-        """Write log records; ``done`` is called once all are on disk."""
+        """Write log records.
+
+        They are written in order. ``on_durable`` is called once the last one is on disk,
+        ``on_failed`` if it could not be written.
+        """
         if not records:
-            done()
+            on_durable()
             return
         for record in records[:-1]:
             self._write(record, lambda: None, lambda: None)
-        self._write(records[-1], done, refused)
+        self._write(records[-1], on_durable, on_failed)
 
     def _write(
-        self, record: DiskRecord, done: Callable[[], None], refused: Callable[[], None]
+        self, record: DiskRecord, on_durable: Callable[[], None], on_failed: Callable[[], None]
     ) -> None:
-        def durable() -> None:
+        def note_durable() -> None:
             self._mark_durable(record)
-            done()
+            on_durable()
 
-        def failed() -> None:
+        def note_failed() -> None:
             if isinstance(record, LogRecord):
                 self.replica.mark_failed(record)
-            refused()
+            on_failed()
 
-        self._writer.write(record, durable, failed)
+        self._writer.write(record, note_durable, note_failed)
 
     def _mark_durable(self, record: DiskRecord) -> None:
         if isinstance(record, LogRecord):
             self.replica.mark_durable(record)
 
     def compact_if_long(self) -> None:
-        """Write the log anew if it has grown long."""
-        if self._store.segment_count() > SEGMENTS_KEPT:
+        """Compact the log if it has grown beyond :data:`MAX_SEGMENTS`."""
+        if self._store.segment_count() > MAX_SEGMENTS:
             self._writer.compact(self._snapshot)
--- a/yarrowwall/replication/documents.py
+++ b/yarrowwall/replication/documents.py
@@ -1,4 +1,4 @@
-"""Members and views as objects of the platform's store hold them."""
+"""Converts members and views to and from the content of objects in the platform's store."""
 
 from dataclasses import asdict, replace
 from typing import Any
@@ -6,9 +6,10 @@
 from yarrowwall.messages.replicated import GroupView, Member
 from yarrowwall.ports.object_store import StoredObject
 
-#: Kind of the machines' registrations, one object a node.
+#: Kind of the machines' registrations, one object per node.
 REPLICAS_KIND = "yarrowwall-replicas"
-#: Field of a registration with the disk of the zone's own group, which earlier releases lack.
+#: Field of a registration that holds the id of the disk for the zone's own group. Earlier
+#: releases do not write it.
 ZONE_DISK = "zone_disk_id"
 #: Kind and name of the object that holds the newest view of every group.
 GROUPS_KIND = "yarrowwall-groups"
@@ -16,7 +17,7 @@
 
 
 def member_spec(member: Member) -> dict[str, Any]:
-    """Return a member as an object of the platform's store holds it."""
+    """Return the content of an object for a member."""
     return asdict(member)
 
 
@@ -26,7 +27,7 @@
 
 
 def view_spec(view: GroupView) -> dict[str, Any]:
-    """Return a view as an object of the platform's store holds it."""
+    """Return the content of an object for a view."""
     return asdict(view)
 
 
@@ -41,12 +42,12 @@
 
 
 def groups_spec(views: list[GroupView]) -> dict[str, Any]:
-    """Return the views of all groups as one object's content."""
+    """Return the content of the object for the views of all groups."""
     return {"groups": [view_spec(view) for view in views]}
 
 
 def read_groups(item: StoredObject) -> list[GroupView] | None:
-    """Return the views of all groups; None if the object holds something else."""
+    """Return the views of all groups; None if the object holds no valid views."""
     if item.name != GROUPS_NAME:
         return None
     try:
@@ -56,12 +57,12 @@
 
 
 def registration_spec(common: Member, zone_disk_id: str) -> dict[str, Any]:
-    """Return a machine's registration with both disks as an object of the store holds it."""
+    """Return the content of a machine's registration, which names both of its disks."""
     return {**member_spec(common), ZONE_DISK: zone_disk_id}
 
 
 def read_registration(item: StoredObject) -> Member | None:
-    """Return a registered machine; None if the object holds something else."""
+    """Return a registered machine; None if the object is no valid registration."""
     try:
         return read_member(item.spec)
     except (KeyError, TypeError):
@@ -69,7 +70,7 @@
 
 
 def read_zone_registration(item: StoredObject) -> Member | None:
-    """Return a machine with its disk for its zone's own group; None if it has none."""
+    """Return a machine with its disk for its zone's own group; None if it names no such disk."""
     common = read_registration(item)
     disk_id = item.spec.get(ZONE_DISK) if common is not None else None
     if common is None or not isinstance(disk_id, str):
--- a/yarrowwall/replication/exceptions.py
+++ b/yarrowwall/replication/exceptions.py
@@ -8,16 +8,16 @@
 
 
 class FrameError(ReplicationError):
-    """A peer sent what is no message."""
+    """A peer sent a frame that is too long or holds no valid message."""
 
 
 class LinkDownError(ReplicationError):
-    """A replica cannot be reached now."""
+    """A machine cannot be reached, or did not answer in time."""
 
 
 class NoNeighbourError(ReplicationError):
-    """No neighbour could pass a request on now."""
+    """No neighbour forwarded a request in time."""
 
 
 class NoQuorumError(ReplicationError):
-    """Too few replicas answered in time; a write may or may not be complete."""
+    """Too few replicas answered in time; a write may be complete nevertheless."""
--- a/yarrowwall/replication/forwarding.py
+++ b/yarrowwall/replication/forwarding.py
@@ -1,4 +1,7 @@
-"""Passes requests of gateways that are cut off on to replicas; bounded, and once only."""
+"""Forwards requests of gateways that are cut off to replicas.
+
+Requests and bytes in flight are bounded, and a forwarded request is never forwarded again.
+"""
 
 from collections import Counter
 from collections.abc import Callable
@@ -22,14 +25,15 @@
 from yarrowwall.replication.relayed_links import RelayedLinkTable
 from yarrowwall.replication.rpc import Completion
 
-#: Requests and bytes that are passed on at once for all others. A turn takes some ten requests of
-#: 5 ms each, so 64 serve more turns than ten gateways ask for; the bytes bound the memory, for
-#: a machine may have 128 MB.
+#: Most requests and bytes in flight for all other gateways. A turn takes about ten requests of
+#: 5 ms each, so 64 serve more turns than ten gateways send; the limit on bytes bounds the memory,
+#: since a machine may have 128 MB.
 MOST_REQUESTS = 64
 MOST_BYTES = 4 * 1024 * 1024
-#: Seconds after which a reply is waited for no more: an operation of the asker lasts as long.
+#: Seconds that a forwarded request waits for its reply: as long as the operation of the gateway
+#: that sent it.
 WAIT_SECONDS = 0.6
-#: What gateways ask replicas, and the readers of the platform's store beside them.
+#: Requests that gateways send to replicas and to readers of the platform's store.
 FORWARDED = (
     AskNeighbours,
     AskRoom,
@@ -49,11 +53,12 @@
 
 
 class ForwardHandler:
-    """Passes requests on.
+    """Handles requests that other gateways ask this one to forward.
 
-    :param is_replica: returns whether an address is one of a replica or a reader.
-    :ivar forwarded: requests that were passed on, by the gateway that asked.
-    :ivar refused: those that were not, by status.
+    :param is_replica: returns whether an address is that of a replica or a reader of the
+        platform's store.
+    :ivar forwarded: number of forwarded requests by the node id of the gateway that sent them.
+    :ivar refused: number of refused requests by status.
     """
 
     def __init__(self, links: RelayedLinkTable, is_replica: Callable[[str], bool]) -> None:
@@ -66,11 +71,11 @@
 
     @property
     def in_flight(self) -> tuple[int, int]:
-        """Return the requests and bytes that are being passed on."""
+        """Return the requests and bytes that are being forwarded."""
         return self._requests, self._bytes
 
     def handle(self, request: object, reply: Reply) -> None:
-        """Take a request of another gateway."""
+        """Forward or refuse a request of another gateway; ignore other messages."""
         if not isinstance(request, Forward):
             return
         message = self._message(request)
@@ -83,7 +88,7 @@
         _Passed(self, request, message, reply)
 
     def _message(self, request: Forward) -> object | None:
-        """Return the request inside; None if it is none that a gateway sends to a replica."""
+        """Return the enclosed request; None if requests of its kind are not forwarded."""
         message = self._links.decoded(request.node_id, request.request)
         return message if isinstance(message, FORWARDED) else None
 
@@ -100,24 +105,27 @@
         return None
 
     def note_begun(self, size: int) -> None:
-        """Count what is under way."""
+        """Count a request of ``size`` bytes as in flight."""
         self._requests += 1
         self._bytes += size
 
     def note_ended(self, size: int) -> None:
-        """Count it no more."""
+        """Stop counting a request of ``size`` bytes."""
         self._requests -= 1
         self._bytes -= size
 
     def post(self, address: str, message: object, completion: Completion) -> Callable[[], None]:
-        """Send a request over this gateway's own connection; return what forgets it."""
+        """Send a request over this gateway's own connection.
+
+        :returns: a function that stops waiting for the reply.
+        """
         link = self._links.get(address)
         number = link.post_directly(message, completion)
         return lambda: link.forget_direct(number)
 
 
 class _Passed:
-    """One request under way."""
+    """One forwarded request that waits for its reply."""
 
     def __init__(
         self, forwarder: ForwardHandler, request: Forward, message: object, reply: Reply
@@ -130,7 +138,7 @@
         self._forget = forwarder.post(request.address, message, self._take)
 
     def _take(self, found: object | None) -> None:
-        """Bring a reply back; None if the connection ended."""
+        """Send the reply back; None if the connection ended."""
         self._timer.cancel()
         if found is None:
             self._end(Forwarded(ForwardStatus.NO_ANSWER, b""))
--- a/yarrowwall/replication/group_notices.py
+++ b/yarrowwall/replication/group_notices.py
@@ -1,4 +1,4 @@
-"""What operators are told of the groups, once for each state."""
+"""Log lines for operators about blocked retirements and lost groups, once per state."""
 
 from yarrowwall import decisions
 from yarrowwall.decisions import DecisionLog
@@ -7,38 +7,41 @@
 
 
 class GroupNotices:
-    """Logs what operators have to know of groups.
+    """Logs states of groups that need an operator.
 
-    :param node_id: the own machine.
+    :param node_id: this machine.
     """
 
     def __init__(self, node_id: str, log: DecisionLog) -> None:
         self._node_id = node_id
         self._log = log
-        self._held: BlockedRetirement | None = None
-        self._lost: set[int] = set()
+        self._blocked: BlockedRetirement | None = None
+        self._logged_losses: set[int] = set()
 
-    def note_held(self, found: BlockedRetirement | None) -> None:
-        """Log that the own machine's retirement waits, unless that was logged last."""
-        if found is None or self._node_id not in found.nodes or found == self._held:
+    def note_blocked(self, found: BlockedRetirement | None) -> None:
+        """Log that this machine's retirement is blocked, unless the same was logged last."""
+        if found is None or self._node_id not in found.nodes or found == self._blocked:
             return
-        self._held = found
+        self._blocked = found
         detail = (
             f"group {found.group} would keep {found.copies_left} copies, {found.copies_needed} "
             "are needed; one more storage machine lets it go on"
         )
         self._log.write(decisions.ProcessChanged("retirement waits", detail))
 
-    def forget_held(self) -> None:
-        """Note that the own machine is not to be emptied: the next retirement is logged anew."""
-        self._held = None
+    def clear_blocked(self) -> None:
+        """Note that this machine is not being retired, so the next retirement is logged again."""
+        self._blocked = None
 
-    def knows_lost(self, group: int) -> bool:
-        """Return whether it was logged that a group has lost all copies of its records."""
-        return group in self._lost
+    def is_loss_logged(self, group: int) -> bool:
+        """Return whether the loss of all copies of a group's records has been logged."""
+        return group in self._logged_losses
 
-    def note_lost(self, view: GroupView) -> None:
-        """Log that a group has lost all copies of its records; see :meth:`knows_lost`."""
-        self._lost.add(view.group)
+    def log_loss(self, view: GroupView) -> None:
+        """Log that a group has lost all copies of its records.
+
+        Callers check :meth:`is_loss_logged` first, so that it is logged once.
+        """
+        self._logged_losses.add(view.group)
         members = ",".join(member.node_id for member in view.members)
         self._log.write(decisions.GroupLost(view.group, view.epoch, members))
--- a/yarrowwall/replication/loss_checks.py
+++ b/yarrowwall/replication/loss_checks.py
@@ -1,4 +1,4 @@
-"""How a gateway makes sure that a group has lost all copies of its records."""
+"""Checks by a gateway whether a group has lost all copies of its records."""
 
 from collections.abc import Callable
 
@@ -15,15 +15,15 @@
 from yarrowwall.replication.rpc import LinkTable
 from yarrowwall.replication.views import all_members
 
-#: Seconds that a replica has to tell its disk, and the store which views are the newest.
-ASK_SECONDS = 0.3
-NEWEST_SECONDS = 0.5
+#: Timeouts in seconds for a replica's status and for reading the newest views from the store.
+STATUS_TIMEOUT_SECONDS = 0.3
+STORE_TIMEOUT_SECONDS = 0.5
 #: Seconds between two checks of a group.
-CHECK_SECONDS = 2.0
+CHECK_INTERVAL_SECONDS = 2.0
 
 
 class LossChecks:
-    """The groups that have surely lost all copies of their records.
+    """Checks groups for the loss of all copies and remembers those that were confirmed lost.
 
     :param now: the monotonic clock.
     """
@@ -45,40 +45,42 @@
         self._checked_at: dict[int, float] = {}
 
     def has_lost(self, group: int) -> bool:
-        """Return whether a group is known to have lost all copies."""
+        """Return whether the group was found to have lost all copies, in its newest view."""
         return group in self._lost and self._lost[group] == self._views.get(group)
 
     def check(self, view: GroupView) -> None:
-        """Begin to make sure, unless that was done a moment ago."""
+        """Check a group in the background, unless it was checked recently."""
         checked_at = self._checked_at.get(view.group)
-        if checked_at is None or self._now() - checked_at >= CHECK_SECONDS:
+        if checked_at is None or self._now() - checked_at >= CHECK_INTERVAL_SECONDS:
             self._checked_at[view.group] = self._now()
             eventlet.spawn_n(self._check, view)
 
     def _check(self, view: GroupView) -> None:
-        if not has_lost_all(view, self._disks(view)) or not self._is_newest(view):
+        if not has_lost_all(view, self._current_disks(view)) or not self._is_newest(view):
             return
         self._lost[view.group] = view
         members = ",".join(member.node_id for member in view.members)
         self._log.write(decisions.GroupLost(view.group, view.epoch, members))
 
-    def _disks(self, view: GroupView) -> dict[str, str]:
-        """Return the disks that the machines of a view have now, by node id."""
+    def _current_disks(self, view: GroupView) -> dict[str, str]:
+        """Return the disks that the machines of a view answer with now, by node id."""
         found = {}
         for member in all_members(view):
             try:
-                reply = self._links.get(member.address).call(AskStatus(view.group), ASK_SECONDS)
+                reply = self._links.get(member.address).call(
+                    AskStatus(view.group), STATUS_TIMEOUT_SECONDS
+                )
             except LinkDownError:
                 continue
-            # The address of a machine that is gone may belong to another one by now.
+            # Another machine may have taken over the address of one that was removed.
             if isinstance(reply, StatusReply) and reply.node_id == member.node_id:
                 found[member.node_id] = reply.disk_id
         return found
 
     def _is_newest(self, view: GroupView) -> bool:
-        """Ask the store whether a view is the newest of its group; take in newer ones."""
+        """Return whether a view is the store's newest of its group; apply newer views."""
         try:
-            item = self._store.get(GROUPS_KIND, GROUPS_NAME, NEWEST_SECONDS)
+            item = self._store.get(GROUPS_KIND, GROUPS_NAME, STORE_TIMEOUT_SECONDS)
         except ObjectStoreError:
             return False
         views = (read_groups(item) if item is not None else None) or []
--- a/yarrowwall/replication/losses.py
+++ b/yarrowwall/replication/losses.py
@@ -1,4 +1,4 @@
-"""When all copies of a group's records are surely lost. No I/O."""
+"""Decides whether all copies of a group's records are lost. No I/O."""
 
 from collections.abc import Mapping
 
@@ -7,15 +7,15 @@
 
 
 def has_lost_all(view: GroupView, found: Mapping[str, str]) -> bool:
-    """Return whether no disk that a common group's newest view names can still be there.
+    """Return whether every disk named by a common group's newest view has been lost.
 
-    A machine keeps one disk at a time and never gets back one that it lost, so another disk in
-    its answer to a question of today is newer than the view's. A machine that is silent or was
-    removed proves nothing. One that joins counts as a copy: it may have copied already.
+    A machine has one disk at a time and never gets a lost one back, so if it answers with a
+    disk other than the view's, the view's disk is gone. A machine that is silent or was removed
+    may still hold its disk. A joining member counts as a copy, since it may have copied already.
 
-    :param view: the newest view; whoever asks makes sure of that.
-    :param found: the disks with which machines answered questions that were sent after the view
-        was known, by node id.
+    :param view: the newest view; the caller checks that it is.
+    :param found: by node id, the disks in answers to requests that were sent after the view was
+        known.
     """
     if is_zone_group(view.group) or not view.members:
         return False
@@ -25,5 +25,5 @@
 
 
 def loss_reason(group: int) -> str:
-    """Return what callers are told of a group that has lost all copies."""
+    """Return the message to callers for a group that has lost all copies."""
     return f"group {group} has lost all copies of its records"
--- a/yarrowwall/replication/neighbour_finder.py
+++ b/yarrowwall/replication/neighbour_finder.py
@@ -1,4 +1,4 @@
-"""Learns of gateways that forward requests, before this one needs them."""
+"""Keeps a list of gateways that can forward requests, before this one needs them."""
 
 import eventlet
 
@@ -8,47 +8,51 @@
 from yarrowwall.replication.group_views import GroupViews
 from yarrowwall.replication.relayed_links import RelayedLinkTable
 
-#: Seconds between two questions, spread by the machine's name: 78 gateways ask 16 times a second,
-#: and a neighbour that is gone is told for 15 s at most.
-ASK_SECONDS = 5.0
-#: The same until neighbours are known.
-FIRST_SECONDS = 0.5
-ANSWER_SECONDS = 0.3
+#: Seconds between two requests, varied by the machine's name: 78 gateways send 16 requests a
+#: second, and a replica lists a gateway that is gone for 15 s at most.
+ASK_INTERVAL_SECONDS = 5.0
+#: The same until a request has been answered.
+FIRST_ASK_INTERVAL_SECONDS = 0.5
+REPLY_TIMEOUT_SECONDS = 0.3
 
 
 class NeighbourFinder:
-    """Asks a replica for neighbours, again and again.
+    """Periodically asks a replica for neighbours.
 
-    :param own: this gateway, as others are told of it.
+    :param own: this gateway, as it is listed to others.
     """
 
     def __init__(self, own: Neighbour, views: GroupViews, links: RelayedLinkTable) -> None:
         self._own = own
         self._views = views
         self._links = links
-        self._board = 0
+        self._replica_index = 0
 
     def start(self) -> None:
-        """Begin to ask."""
+        """Start asking in the background."""
         eventlet.spawn_n(self._run)
 
     def _run(self) -> None:
         spread = 0.75 + 0.5 * fraction("neighbours", self._own.node_id)
         while True:
             has_found = self._ask()
-            eventlet.sleep((ASK_SECONDS if has_found else FIRST_SECONDS) * spread)
+            eventlet.sleep(
+                (ASK_INTERVAL_SECONDS if has_found else FIRST_ASK_INTERVAL_SECONDS) * spread
+            )
 
     def _ask(self) -> bool:
-        """Ask once; return whether there was an answer."""
+        """Send one request; return whether it was answered."""
         members = self._views.report_replicas()
         if not members:
             return False
-        # The next one if it does not answer.
-        member = members[self._board % len(members)]
+        # The index moves to the next replica when one does not answer.
+        member = members[self._replica_index % len(members)]
         try:
-            reply = self._links.get(member.address).call(AskNeighbours(self._own), ANSWER_SECONDS)
+            reply = self._links.get(member.address).call(
+                AskNeighbours(self._own), REPLY_TIMEOUT_SECONDS
+            )
         except LinkDownError:
-            self._board += 1
+            self._replica_index += 1
             return False
         if isinstance(reply, NeighboursReply):
             self._links.paths.replace_neighbours(reply.neighbours)
--- a/yarrowwall/replication/neighbour_forwarder.py
+++ b/yarrowwall/replication/neighbour_forwarder.py
@@ -1,4 +1,4 @@
-"""Single requests to machines out of reach that go through neighbours."""
+"""Sends single requests to unreachable machines through neighbours."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -9,57 +9,59 @@
 from yarrowwall.replication.exceptions import LinkDownError, NoNeighbourError
 from yarrowwall.replication.paths import FORWARD_LATE_SECONDS
 from yarrowwall.replication.relayed_links import (
-    MOST_NEIGHBOURS,
+    MAX_NEIGHBOURS,
     RelayedLinkTable,
     is_unanswered,
 )
 
-#: Seconds for a reply. A neighbour says after 0.6 s that it got none, so one that has said
-#: nothing by then is lost itself.
-REPLY_SECONDS = 0.7
-#: Seconds for which a neighbour that refused a request is sent no other one of this kind: it may
-#: run an earlier release, or not know the address yet. It passes others on all the same.
-REFUSED_SECONDS = 8.0
+#: Timeout of a request in seconds. A neighbour reports after 0.6 s that it got no reply, so one
+#: that has not answered within this time is unusable itself.
+REPLY_TIMEOUT_SECONDS = 0.7
+#: Seconds for which this class sends no request to a neighbour that refused one. It may run an
+#: earlier release or not know the address yet; links to replicas still use it meanwhile.
+REFUSAL_PAUSE_SECONDS = 8.0
 
 
-class _Sent(NamedTuple):
-    """A request that a neighbour was asked to pass on.
+class _Attempt(NamedTuple):
+    """A request that was sent to one neighbour.
 
-    :param number: by which it is forgotten at the neighbour's link.
+    :param number: its number at the neighbour's link.
+    :param sent_at_s: when it was sent, on the monotonic clock.
     """
 
     neighbour: Neighbour
     number: int
-    at_s: float
+    sent_at_s: float
 
 
-class _Passing:
-    """One request under way.
+class _ForwardedRequest:
+    """State of one request while it is being forwarded.
 
-    :ivar tried: names of the neighbours that were asked.
-    :ivar open: what no neighbour has answered yet, by the neighbour's name.
-    :ivar found: the reply.
-    :ivar is_lost: whether a neighbour said that the machine does not answer it either.
-    :ivar news: sent once a neighbour answers.
+    :ivar tried: node ids of the neighbours that were asked, in order.
+    :ivar pending: attempts without an answer, by the neighbour's node id.
+    :ivar reply: the machine's reply; None until there is one.
+    :ivar is_unreachable: whether a neighbour reported that the machine does not answer.
+    :ivar answered: event that is sent when a neighbour answers.
     """
 
     def __init__(self) -> None:
         self.tried: list[str] = []
-        self.open: dict[str, _Sent] = {}
-        self.found: object | None = None
-        self.is_lost = False
-        self.news = Event()
+        self.pending: dict[str, _Attempt] = {}
+        self.reply: object | None = None
+        self.is_unreachable = False
+        self.answered = Event()
 
-    def tell(self) -> None:
-        """Wake whoever waits."""
-        if not self.news.ready():
-            self.news.send()
+    def wake(self) -> None:
+        """Wake the caller that waits for an answer."""
+        if not self.answered.ready():
+            self.answered.send()
 
 
 class NeighbourForwarder:
-    """Sends requests through neighbours that no direct way is tried for.
+    """Sends requests through neighbours, without trying a direct connection.
 
-    The neighbours, and those that are passed over, are the ones of the links to replicas.
+    It shares the list of neighbours, and which of them are skipped for now, with the links to
+    replicas.
 
     :param now: the monotonic clock.
     """
@@ -70,75 +72,88 @@
         self._refused_until: dict[str, float] = {}
 
     def call(self, address: str, message: object) -> object:
-        """Return a machine's reply to a request.
+        """Send a request through a neighbour and return the machine's reply.
 
-        The next neighbour is asked once one refuses or is late, three at most; the first reply
-        counts, and others that come later are dropped.
+        The next neighbour is asked when one refuses or is late, up to :data:`MAX_NEIGHBOURS`.
+        The first reply is returned; later ones are dropped.
 
-        :raises LinkDownError: if the machine does not answer its neighbours either.
-        :raises NoNeighbourError: if no neighbour passes the request on.
+        :param address: the machine's address.
+        :raises LinkDownError: if a neighbour reports that the machine does not answer.
+        :raises NoNeighbourError: if no neighbour forwards the request in time.
         """
-        passing = _Passing()
-        last_s = self._now() + REPLY_SECONDS
+        request = _ForwardedRequest()
+        deadline_s = self._now() + REPLY_TIMEOUT_SECONDS
         try:
-            while passing.found is None and not passing.is_lost:
-                may_send = self._send(passing, address, message)
-                self._wait(passing, last_s, may_send)
+            while request.reply is None and not request.is_unreachable:
+                was_sent = self._try_next_neighbour(request, address, message)
+                self._wait_for_answer(request, deadline_s, was_sent)
         finally:
-            self._forget(passing)
-        if passing.found is None:
+            self._cancel_pending(request)
+        if request.reply is None:
             raise LinkDownError(address)
-        return passing.found
+        return request.reply
 
-    def _send(self, passing: _Passing, address: str, message: object) -> bool:
-        """Ask one more neighbour; return whether there was one."""
+    def _try_next_neighbour(
+        self, request: _ForwardedRequest, address: str, message: object
+    ) -> bool:
+        """Send the request to one more neighbour; return whether one was available."""
         now_s = self._now()
-        if len(passing.tried) >= MOST_NEIGHBOURS:
+        if len(request.tried) >= MAX_NEIGHBOURS:
             return False
         refusing = [name for name, until_s in self._refused_until.items() if until_s > now_s]
-        neighbour = self._links.paths.useful_neighbour(now_s, [*passing.tried, *refusing])
+        neighbour = self._links.paths.available_neighbour(now_s, [*request.tried, *refusing])
         if neighbour is None:
             return False
-        passing.tried.append(neighbour.node_id)
+        request.tried.append(neighbour.node_id)
         number = self._links.forward(
-            neighbour, address, message, lambda reply: self._take(passing, neighbour, reply)
+            neighbour,
+            address,
+            message,
+            lambda reply: self._handle_answer(request, neighbour, reply),
         )
-        passing.open[neighbour.node_id] = _Sent(neighbour, number, now_s)
+        request.pending[neighbour.node_id] = _Attempt(neighbour, number, now_s)
         return True
 
-    def _wait(self, passing: _Passing, last_s: float, may_send: bool) -> None:
-        """Wait for an answer, or until it is time to ask one more neighbour.
+    def _wait_for_answer(
+        self, request: _ForwardedRequest, deadline_s: float, was_sent: bool
+    ) -> None:
+        """Wait for an answer, or until the next neighbour may be tried.
 
-        :raises NoNeighbourError: if there is nothing more to wait for.
+        :param was_sent: whether another neighbour was just asked; otherwise the wait lasts until
+            the deadline.
+        :raises NoNeighbourError: if no attempt is pending or the deadline has passed.
         """
-        left_s = last_s - self._now()
-        if not passing.open or left_s <= 0.0:
-            raise NoNeighbourError(", ".join(passing.tried) or "all are passed over")
-        passing.news.wait(min(FORWARD_LATE_SECONDS, left_s) if may_send else left_s)
-        passing.news = Event()
-
-    def _take(self, passing: _Passing, neighbour: Neighbour, reply: object | None) -> None:
-        is_open = passing.open.pop(neighbour.node_id, None) is not None
-        if not is_open or passing.found is not None:
+        left_s = deadline_s - self._now()
+        if not request.pending or left_s <= 0.0:
+            raise NoNeighbourError(", ".join(request.tried) or "no neighbour is available")
+        request.answered.wait(min(FORWARD_LATE_SECONDS, left_s) if was_sent else left_s)
+        request.answered = Event()
+
+    def _handle_answer(
+        self, request: _ForwardedRequest, neighbour: Neighbour, reply: object | None
+    ) -> None:
+        is_pending = request.pending.pop(neighbour.node_id, None) is not None
+        if not is_pending or request.reply is not None:
             return
         if isinstance(reply, Forwarded) and reply.status is ForwardStatus.REFUSED:
             self._links.refused[reply.status.value] += 1
-            self._refused_until[neighbour.node_id] = self._now() + REFUSED_SECONDS
+            self._refused_until[neighbour.node_id] = self._now() + REFUSAL_PAUSE_SECONDS
         else:
-            passing.is_lost = is_unanswered(reply)
-            passing.found = self._links.read(neighbour, reply)
-        passing.tell()
+            request.is_unreachable = is_unanswered(reply)
+            request.reply = self._links.unwrap_reply(neighbour, reply)
+        request.wake()
 
-    def _forget(self, passing: _Passing) -> None:
-        """Wait for no neighbour any more; those that were silent while another answered are lost.
+    def _cancel_pending(self, request: _ForwardedRequest) -> None:
+        """Stop waiting for neighbours and mark the late ones as unusable.
 
-        While nobody brought a reply it may be the machine that is slow.
+        If another neighbour brought a reply, the shorter limit applies. Without a reply the
+        machine itself may be slow, so only neighbours that exceeded the timeout are marked.
         """
         now_s = self._now()
-        is_sure_s = FORWARD_LATE_SECONDS if passing.found is not None else REPLY_SECONDS
-        for sent in passing.open.values():
-            is_late = now_s - sent.at_s >= is_sure_s
-            self._links.neighbour_link(sent.neighbour).forget(sent.number, is_late)
+        late_after_s = FORWARD_LATE_SECONDS if request.reply is not None else REPLY_TIMEOUT_SECONDS
+        for attempt in request.pending.values():
+            is_late = now_s - attempt.sent_at_s >= late_after_s
+            self._links.neighbour_link(attempt.neighbour).forget(attempt.number, is_late)
             if is_late:
-                self._links.paths.note_useless(sent.neighbour.node_id, now_s)
-        passing.open.clear()
+                self._links.paths.note_unusable(attempt.neighbour.node_id, now_s)
+        request.pending.clear()
--- a/yarrowwall/replication/peers.py
+++ b/yarrowwall/replication/peers.py
@@ -1,4 +1,4 @@
-"""What a replica knows of the other machines with disks: registrations and who is alive."""
+"""The other machines with disks as a replica knows them: registrations, liveness and status."""
 
 import math
 from collections.abc import Callable, Mapping, Sequence
@@ -15,10 +15,10 @@
 from yarrowwall.replication.rpc import LinkTable
 from yarrowwall.replication.views import ViewConfirmation
 
-#: Seconds between questions, and how long an answer may take.
+#: Seconds between two status requests to a machine.
 HEARTBEAT_SECONDS = 0.4
-#: The same right after the start, when others may be starting too and callers wait, and the
-#: seconds for which that holds.
+#: The same right after the start, when other machines may be starting too and callers wait, and
+#: the seconds for which it applies.
 FIRST_HEARTBEAT_SECONDS = 0.1
 START_SECONDS = 2.0
 #: Seconds of silence after which a machine counts as down.
@@ -26,15 +26,17 @@
 
 
 class ReplicaPeers:
-    """Asks every registered machine for its state again and again.
+    """Periodically asks every registered machine for its status.
 
-    Machines of a zone with a group of its own tell one another of both replicas in one answer;
-    nobody needs to know elsewhere.
+    Machines of a zone that has its own group report both of their replicas to each other in one
+    answer; machines of other zones do not need the status of the zone's group.
 
-    :param node_id: the own machine, which is always alive.
+    :param node_id: this machine, which always counts as alive.
+    :param zone: this machine's zone.
+    :param now: the monotonic clock.
     :ivar registered: the machines with their disks for a common group, by node id.
     :ivar zone_disks: the machines with their disks for their zones' groups, by node id.
-    :ivar has_zone_group: whether the own zone has a group.
+    :ivar has_zone_group: whether this zone has a group of its own.
     """
 
     def __init__(self, node_id: str, zone: str, links: LinkTable, now: Callable[[], float]) -> None:
@@ -46,11 +48,11 @@
         self.zone_disks: dict[str, Member] = {}
         self.has_zone_group = False
         self._statuses: dict[str, StatusReply] = {}
-        self._heard_at: dict[str, float] = {}
+        self._answered_at: dict[str, float] = {}
         self._confirmations: dict[str, ViewConfirmation] = {}
 
     def start(self) -> None:
-        """Begin to ask."""
+        """Start asking in the background."""
         eventlet.spawn_n(self._run)
 
     def _run(self) -> None:
@@ -65,24 +67,27 @@
     def _ask(self, member: Member) -> None:
         link = self._links.get(member.address)
         asked_at = self._now()
-        asks_both = self.has_zone_group and member.zone == self._zone
-        question = AskStatuses() if asks_both else AskStatus(0)
-        number = link.post(question, lambda reply: self._heard(member, asked_at, reply))
+        wants_both = self.has_zone_group and member.zone == self._zone
+        question = AskStatuses() if wants_both else AskStatus(0)
+        number = link.post(question, lambda reply: self._handle_reply(member, asked_at, reply))
         eventlet.spawn_after(DOWN_SECONDS, link.forget, number, is_late=True)
 
-    def _heard(self, member: Member, asked_at: float, reply: object | None) -> None:
+    def _handle_reply(self, member: Member, asked_at: float, reply: object | None) -> None:
         if isinstance(reply, StatusesReply):
-            self._heard(member, asked_at, reply.common)
-            self._heard(member, asked_at, reply.zone)
+            self._handle_reply(member, asked_at, reply.common)
+            self._handle_reply(member, asked_at, reply.zone)
             return
-        # The address of a machine that is gone may belong to another one by now.
+        # Another machine may have taken over the address of one that was removed.
         if isinstance(reply, StatusReply) and reply.node_id == member.node_id:
             self._statuses[reply.disk_id] = reply
-            self._heard_at[member.node_id] = self._now()
+            self._answered_at[member.node_id] = self._now()
             self._confirmations[reply.disk_id] = ViewConfirmation(reply.epoch, asked_at)
 
     def note_registration(self, node_id: str, common: Member, zone: Member | None) -> None:
-        """Take in a machine's newest registration."""
+        """Store a machine's newest registration.
+
+        :param zone: the machine with its disk for its zone's own group; None if it has none.
+        """
         self.registered[node_id] = common
         if zone is not None:
             self.zone_disks[node_id] = zone
@@ -93,23 +98,26 @@
         self.zone_disks.clear()
 
     def forget(self, node_id: str) -> None:
-        """Forget the registration of a machine that is gone."""
+        """Forget the registration of a machine that was removed."""
         self.registered.pop(node_id, None)
         self.zone_disks.pop(node_id, None)
 
     def alive(self) -> set[str]:
-        """Return the machines that answered lately, the own one among them."""
+        """Return the node ids of the machines that answered recently, including this one."""
         since = self._now() - DOWN_SECONDS
-        heard = {node for node, heard_at in self._heard_at.items() if heard_at >= since}
-        return heard | {self._node_id}
+        answered = {node for node, heard_at in self._answered_at.items() if heard_at >= since}
+        return answered | {self._node_id}
 
     def confirmations(self) -> Mapping[str, ViewConfirmation]:
-        """Return what each disk's replica said last, and when it was asked."""
+        """Return the newest confirmation of each replica by disk."""
         return self._confirmations
 
-    def disks_since(self, since_s: float) -> dict[str, str]:
-        """Return the registered disks that answered a question sent since then, by node id."""
-        asked = {disk: voucher.asked_at_s for disk, voucher in self._confirmations.items()}
+    def disks_confirmed_since(self, since_s: float) -> dict[str, str]:
+        """Return by node id the registered disks that answered a request sent at or after a time.
+
+        :param since_s: that time, on the monotonic clock.
+        """
+        asked = {disk: one.asked_at_s for disk, one in self._confirmations.items()}
         return {
             node: member.disk_id
             for node, member in self.registered.items()
@@ -117,13 +125,13 @@
         }
 
     def disks_of(self, zone: str) -> dict[str, Member]:
-        """Return the machines of a zone with their disks for its group, by node id."""
+        """Return the machines of a zone with their disks for the zone's group, by node id."""
         return {node: member for node, member in self.zone_disks.items() if member.zone == zone}
 
     def statuses(self, own: Sequence[StatusReply]) -> dict[str, StatusReply]:
-        """Return the newest state of each disk whose machine is alive.
+        """Return the newest status of each disk whose machine is alive.
 
-        :param own: the states of the own disks.
+        :param own: the status of each of this machine's replicas.
         """
         alive = self.alive()
         found = {disk: status for disk, status in self._statuses.items() if status.node_id in alive}
--- a/yarrowwall/replication/planner.py
+++ b/yarrowwall/replication/planner.py
@@ -1,4 +1,4 @@
-"""Which replicas a group should have next. No I/O."""
+"""Plans the next view of a group: which replicas it should have. No I/O."""
 
 from collections import Counter
 from collections.abc import Collection, Mapping, Sequence
@@ -15,18 +15,18 @@
     read_quorum,
 )
 
-#: Replicas that a zone needs for a group of its own: a single disk would bear no loss.
-LEAST_ZONE_REPLICAS = 2
-#: Zones of a system whose zones have groups of their own: one alone is cut from nobody.
-LEAST_ZONES = 2
+#: Least replicas of a zone's own group: a single disk would not survive any loss.
+MIN_ZONE_REPLICAS = 2
+#: Least zones of a system with zone groups: a single zone cannot be partitioned from another.
+MIN_ZONES = 2
 
 
 class BlockedRetirement(NamedTuple):
-    """A retirement that waits, since its common group would be left with too few copies.
+    """A retirement that is blocked because its common group would keep too few copies.
 
-    :param nodes: the group's machines that are to be emptied.
+    :param nodes: the retiring machines of the group.
     :param copies_left: copies that the group would have without them.
-    :param copies_needed: one more than disks may be lost at once.
+    :param copies_needed: one more than the number of disks that may be lost at once.
     """
 
     group: int
@@ -36,12 +36,18 @@
 
 
 def target_size(machines_lost_at_once: int) -> int:
-    """Return how many replicas bear the loss of so many machines."""
+    """Return how many replicas a group needs to survive the loss of that many machines at once.
+
+    A majority of them still has a copy on a machine that remains.
+    """
     return 2 * max(1, machines_lost_at_once) + 1
 
 
 def first_views(registered: Sequence[Member], size: int) -> list[GroupView]:
-    """Return the groups of a system that starts for the first time."""
+    """Return the common groups of a system that starts for the first time.
+
+    :param size: target number of replicas in a group.
+    """
     count = max(1, len(registered) // size)
     free = sorted(registered, key=lambda member: member.node_id)
     views = []
@@ -58,23 +64,23 @@
 def first_zone_views(zone_disks: Sequence[Member], size: int) -> list[GroupView]:
     """Return the zones' own groups of a system that starts for the first time.
 
-    :param zone_disks: the disks that registered for these groups.
-    :param size: most replicas of one: two times what is to be borne, and one.
+    :param zone_disks: the machines with the disks that were registered for these groups.
+    :param size: most replicas of one group: twice the tolerated number of lost disks, plus one.
     """
     by_zone: dict[str, list[Member]] = {}
     for member in sorted(zone_disks, key=lambda member: member.node_id):
         by_zone.setdefault(member.zone, []).append(member)
-    if len(by_zone) < LEAST_ZONES:
+    if len(by_zone) < MIN_ZONES:
         return []
     copies = size // 2 + 1
     chosen = [by_zone[zone][:size] for zone in sorted(by_zone)]
-    found = [members for members in chosen if len(members) >= LEAST_ZONE_REPLICAS]
+    found = [members for members in chosen if len(members) >= MIN_ZONE_REPLICAS]
     first = ZONE_GROUPS_FROM * copies
-    return [GroupView(first + place, 1, members, []) for place, members in enumerate(found)]
+    return [GroupView(first + position, 1, members, []) for position, members in enumerate(found)]
 
 
 def _best_candidate(candidates: Sequence[Member], chosen: Sequence[Member]) -> Member:
-    """Return the candidate whose zone is represented least."""
+    """Return the candidate whose zone has the fewest chosen members."""
     zones = Counter(member.zone for member in chosen)
     return min(candidates, key=lambda member: (zones[member.zone], member.node_id))
 
@@ -87,23 +93,25 @@
     busy: Collection[str],
     size: int,
 ) -> GroupView | None:
-    """Return the view that begins a change of a settled group; None if all is well.
+    """Return the view that begins a change of a settled group.
+
+    None if the group needs no change, or too few members are available for one.
 
     :param registered: the machines' newest registrations by node id.
-    :param alive: node ids that answered lately.
-    :param retiring: node ids that are to be emptied.
+    :param alive: node ids of machines that answered recently.
+    :param retiring: node ids of machines that are being retired.
     :param busy: disks that are members of any group.
-    :param size: replicas wanted.
+    :param size: target number of replicas.
     """
-    holding = _holding(view, registered, alive)
-    if len(holding) < read_quorum(view.group, len(view.members)):
-        # Nobody could copy what is complete; and whoever sees so few may itself be the one
-        # that is cut off. A majority would be too much to ask for: in a group of two, left by
-        # a retirement, the one that still has its disk holds every complete write.
+    intact = _intact_members(view, registered, alive)
+    if len(intact) < read_quorum(view.group, len(view.members)):
+        # Joining members could not copy every complete write, and a machine that sees so few
+        # others may itself be cut off. A majority is not required: in a group of two, left by a
+        # retirement, the one member that still has its disk holds every complete write.
         return None
-    joining = [member for member in holding if member.node_id not in retiring]
-    able = [registered[node_id] for node_id in registered if node_id in alive]
-    free = [one for one in able if one.node_id not in retiring and one.disk_id not in busy]
+    joining = [member for member in intact if member.node_id not in retiring]
+    available = [registered[node_id] for node_id in registered if node_id in alive]
+    free = [one for one in available if one.node_id not in retiring and one.disk_id not in busy]
     while len(joining) < size and free:
         best = _best_candidate(free, joining)
         free.remove(best)
@@ -113,12 +121,12 @@
         for member in view.members
         if member.node_id not in alive and not _has_other_disk(member, registered)
     ]
-    # Without a substitute, a member that is to be emptied stays as long as the group needs it,
-    # and a silent one does, for it may come back with its disk.
-    emptied = [member for member in [*holding, *silent] if member.node_id in retiring]
-    joining += emptied[: max(0, _fewest_copies(view.group, size) - len(joining))]
-    waited_for = [member for member in silent if member.node_id not in retiring]
-    joining += waited_for[: max(0, len(view.members) - len(joining))]
+    # Without a replacement, a retiring member stays as long as the group needs its copy. A silent
+    # member stays too, since it may come back with its disk.
+    retiring_members = [member for member in [*intact, *silent] if member.node_id in retiring]
+    joining += retiring_members[: max(0, _min_copies(view.group, size) - len(joining))]
+    awaited = [member for member in silent if member.node_id not in retiring]
+    joining += awaited[: max(0, len(view.members) - len(joining))]
     if not joining or set(disk_ids(joining)) == set(disk_ids(view.members)):
         return None
     return GroupView(view.group, view.epoch + 1, view.members, joining)
@@ -132,26 +140,26 @@
     busy: Collection[str],
     size: int,
 ) -> BlockedRetirement | None:
-    """Return why members of a settled group that are to be emptied stay; None if that's not it.
+    """Return the retirement of a settled group that is blocked by too few copies; None if none is.
 
     The parameters are those of :func:`next_view`.
     """
-    holding = _holding(view, registered, alive)
-    if len(holding) < read_quorum(view.group, len(view.members)):
+    intact = _intact_members(view, registered, alive)
+    if len(intact) < read_quorum(view.group, len(view.members)):
         return None
     if next_view(view, registered, alive, retiring, busy, size) is not None:
         return None
-    leaving = frozenset(member.node_id for member in holding if member.node_id in retiring)
-    left, needed = len(holding) - len(leaving), _fewest_copies(view.group, size)
+    leaving = frozenset(member.node_id for member in intact if member.node_id in retiring)
+    left, needed = len(intact) - len(leaving), _min_copies(view.group, size)
     if not leaving or left >= needed:
         return None
     return BlockedRetirement(view.group, leaving, left, needed)
 
 
-def _holding(
+def _intact_members(
     view: GroupView, registered: dict[str, Member], alive: Collection[str]
 ) -> list[Member]:
-    """Return the members that are there with their disks."""
+    """Return the members that are alive and still have their disks."""
     return [
         member
         for member in view.members
@@ -159,11 +167,11 @@
     ]
 
 
-def _fewest_copies(group: int, size: int) -> int:
-    """Return how many copies a retirement has to leave.
+def _min_copies(group: int, size: int) -> int:
+    """Return how many copies must remain after a retirement.
 
-    A common group keeps one more than disks may be lost at once. A zone's group may be emptied
-    altogether, and ends then.
+    A common group keeps one more than the number of disks that may be lost at once. All members
+    of a zone group may be retired; the group then ends.
     """
     return 0 if is_zone_group(group) else majority(size)
 
@@ -174,9 +182,11 @@
 
 
 def settled_view(view: GroupView, statuses: dict[str, StatusReply]) -> GroupView | None:
-    """Return the view that ends a change; None if too few replicas have copied.
+    """Return the view that ends a change; None while copies are missing.
+
+    A majority of the joining replicas and every one of them that answers must have copied.
 
-    :param statuses: the newest answers of the joining replicas by disk.
+    :param statuses: the newest status of each answering replica by disk.
     """
     copied = [
         disk
@@ -191,20 +201,21 @@
 
 
 def is_ready_to_change(view: GroupView, statuses: Mapping[str, StatusReply]) -> bool:
-    """Return whether enough members hold what is complete, and know the view, for the next one.
+    """Return whether a read quorum of members is synchronised and knows the view.
 
-    A member that misses a view in which a change begins or ends counts no more until it has
-    copied; were the next one begun too soon, nobody might be left to copy from.
+    A member that misses a view in which a change begins or ends does not count for reads until
+    it has copied. If the next view came too soon, there might be no member left to copy from.
     """
     known = [statuses[disk] for disk in disk_ids(view.members) if disk in statuses]
-    readers = sum(status.is_reader and status.epoch == view.epoch for status in known)
-    return readers >= read_quorum(view.group, len(view.members))
+    ready_count = sum(status.is_reader and status.epoch == view.epoch for status in known)
+    return ready_count >= read_quorum(view.group, len(view.members))
 
 
 def revised_view(view: GroupView, registered: dict[str, Member]) -> GroupView | None:
-    """Return the view of a change whose joining members lost disks since; None if none did.
+    """Return a new view of a change in which joining members lost disks; None if none did.
 
-    The members of before still hold what is complete; a disk that is gone would never copy.
+    The old members still hold every complete write. A lost disk would never finish its copy, so
+    the machine's newest disk joins in its place.
     """
     joining = [
         registered[member.node_id] if _has_other_disk(member, registered) else member
@@ -218,12 +229,12 @@
 def ended_view(
     view: GroupView, replica: RecordReplica, retiring: Collection[str]
 ) -> GroupView | None:
-    """Return the next view of a zone group all of whose machines are to be emptied.
+    """Return the next view of a zone group whose machines are all being retired; None if it stays.
 
-    The group shrinks to one replica, which then holds all that is complete, and ends without
-    members once that has expired.
+    The group first shrinks to one replica, which then holds every complete record. Once all of
+    them have expired the group ends, without members.
 
-    :param replica: the own one; a member proposes itself.
+    :param replica: this machine's replica; a member proposes itself as the last one.
     """
     own = member_of(view, replica.disk_id)
     if own is None or view.joining or any(m.node_id not in retiring for m in view.members):
--- a/yarrowwall/replication/quorum_client.py
+++ b/yarrowwall/replication/quorum_client.py
@@ -1,4 +1,4 @@
-"""Reads and writes of records through quorums of a group's replicas."""
+"""Reads and writes records through quorums of a group's replicas."""
 
 import contextlib
 from collections.abc import Callable, Collection
@@ -24,46 +24,47 @@
 from yarrowwall.replication.group_views import GroupViews
 from yarrowwall.replication.losses import loss_reason
 from yarrowwall.replication.operations import (
-    NOBODY,
-    READERS,
-    READERS_AND_WRITERS,
-    WRITERS,
+    NO_QUORUM,
+    READ_QUORUM,
+    READ_WRITE_QUORUM,
+    WRITE_QUORUM,
     Operation,
     is_behind,
     needed_members,
     reaches_root,
 )
 from yarrowwall.replication.rounds import Amount, Posted, Round
-from yarrowwall.replication.rpc import DOWN_SECONDS, LinkTable
+from yarrowwall.replication.rpc import RECONNECT_DELAY_SECONDS, LinkTable
 from yarrowwall.replication.views import all_members, has_read_quorum
 
-#: Seconds that an operation waits for its quorum.
+#: Default timeout of an operation in seconds.
 OPERATION_SECONDS = 0.6
-#: Seconds that the nearest replica has to answer alone before all are asked.
+#: Seconds that the nearest replica may take to answer alone before the others are asked.
 NEAREST_SECONDS = 0.08
-#: Seconds before an operation that met another view is tried again.
+#: Seconds before an operation is retried in another view.
 RETRY_SECONDS = 0.01
-#: Seconds before a replica whose connection failed is asked again: half of the time in which its
-#: link fails at once.
-UNREACHED_RETRY_SECONDS = 0.5 * DOWN_SECONDS
-#: An operation asks as many replicas as it needs, and all others once it has waited for this
-#: many times what is usual, within these bounds in seconds: a reply takes a round trip
+#: Seconds before a replica whose connection failed is asked again: half of the time during which
+#: its link fails requests at once.
+UNREACHED_RETRY_SECONDS = 0.5 * RECONNECT_DELAY_SECONDS
+#: An operation first asks as many replicas as it needs. It asks all others after this multiple of
+#: the typical time to completion, within these bounds in seconds: a reply takes a round trip
 #: (3 ms between zones), a sync (1 ms) and the replica's queue.
 SLOW_FACTOR = 3.0
-LEAST_SLOW_SECONDS = 0.008
-MOST_SLOW_SECONDS = 0.08
-#: What is held to be usual before the first reply, and the weight of the newest one.
-FIRST_USUAL_SECONDS = 0.01
-USUAL_WEIGHT = 0.1
-#: Seconds in which a replica that was too slow is asked last.
-ASKED_LAST_SECONDS = 1.0
+MIN_SLOW_SECONDS = 0.008
+MAX_SLOW_SECONDS = 0.08
+#: Initial value in seconds of the typical time to completion, and the weight of each new sample
+#: in its moving average.
+INITIAL_TYPICAL_SECONDS = 0.01
+TYPICAL_WEIGHT = 0.1
+#: Seconds for which a replica that was too slow is asked last.
+DEPRIORITISED_SECONDS = 1.0
 
 
 class OwnerReading(NamedTuple):
-    """What is recorded for an owner.
+    """The amounts that are recorded for an owner.
 
-    :param amounts: by key of the record.
-    :param note: a hint, which may be older than the newest record.
+    :param amounts: amounts by key of the record.
+    :param note: value of a recent record of the owner as text; it may not be the newest one's.
     :param is_complete: whether every complete record is among the amounts.
     """
 
@@ -73,9 +74,10 @@
 
 
 class QuorumClient:
-    """Operations on records.
+    """Runs operations on records.
 
-    :param zone: the own zone; its replicas are asked first.
+    :param zone: this gateway's zone; its replicas are asked first.
+    :param now: the monotonic clock.
     """
 
     def __init__(
@@ -86,16 +88,16 @@
         self._links = links
         self._now = now
         self._failing_since: float | None = None
-        self._usual_s = FIRST_USUAL_SECONDS
-        self._asked_last_until: dict[str, float] = {}
-        #: Tells whether a group has surely lost all copies of its records.
+        self._typical_s = INITIAL_TYPICAL_SECONDS
+        self._deprioritised_until: dict[str, float] = {}
+        #: Returns whether a group is known to have lost all copies of its records.
         self.has_lost: Callable[[int], bool] = lambda group: False
-        #: Called with a view instead of whose disks others replied, all of them.
+        #: Called with a view if other disks replied in place of all of its disks.
         self.on_all_replaced: Callable[[GroupView], None] = lambda view: None
 
     @property
     def failing_seconds(self) -> float:
-        """Return for how long no operation has found its quorum; 0 if the last one did."""
+        """Return for how many seconds operations have failed; 0 if the last one succeeded."""
         return 0.0 if self._failing_since is None else self._now() - self._failing_since
 
     def write(
@@ -111,10 +113,10 @@
         operation = Operation(
             group,
             records[0].key,
-            WRITERS,
+            WRITE_QUORUM,
             lambda view, member: WriteRecords(group, view.epoch, member.disk_id, records),
         )
-        self._operate(operation, timeout)
+        self._run(operation, timeout)
 
     def read_amounts(
         self, group: int, owner: str, timeout: float = OPERATION_SECONDS
@@ -126,52 +128,53 @@
         operation = Operation(
             group,
             owner,
-            READERS,
+            READ_QUORUM,
             lambda view, member: ReadOwner(group, view.epoch, member.disk_id, owner),
         )
-        found = self._operate(operation, timeout)
+        found = self._run(operation, timeout)
         return OwnerReading(found.amounts, found.note, is_complete=True)
 
     def check(self, group: int, timeout: float) -> None:
-        """Find out whether a group can be read and written now.
+        """Check that a group can be read and written now.
 
-        :raises NoQuorumError: if the quorum for either does not answer in time.
+        :raises NoQuorumError: if the quorum for reads or for writes does not answer in time.
         """
         operation = Operation(
             group,
             "",
-            READERS_AND_WRITERS,
+            READ_WRITE_QUORUM,
             lambda view, member: ReadOwner(group, view.epoch, member.disk_id, ""),
         )
-        self._operate(operation, timeout)
+        self._run(operation, timeout)
 
     def reserve(
         self, group: int, record: StoredRecord, timeout: float = OPERATION_SECONDS
     ) -> OwnerReading:
-        """Store a record on a write quorum; return what its replicas hold of its owner.
+        """Store a record on a write quorum; return the amounts that it holds of the owner.
 
-        Any other reservation, complete before this one was sent, is among the amounts
-        if the reading is sure. Of two that cross, at least one finds the other.
+        If the reading is complete, it contains every reservation that was complete before this
+        one was sent. Of two concurrent reservations, at least one sees the other.
 
         :raises NoQuorumError: if the quorum does not answer in time.
         """
         operation = Operation(
             group,
             record.owner,
-            WRITERS,
+            WRITE_QUORUM,
             lambda view, member: ReserveRecord(group, view.epoch, member.disk_id, record),
         )
-        found = self._operate(operation, timeout)
+        found = self._run(operation, timeout)
         return OwnerReading(found.amounts, found.note, found.is_read_quorum)
 
     def read_chain(
         self, group: int, key: str, known: list[str], timeout: float = OPERATION_SECONDS
     ) -> dict[str, StoredRecord]:
-        """Return a record and those it goes on from, as far as replicas have them.
+        """Return a record and its predecessors by key, as far as replicas have them.
 
-        The nearest replica is asked alone first. If a record is not found, no
-        complete write of it exists.
+        The nearest replica is asked alone first. A record that is not among them has no complete
+        write.
 
+        :param known: keys at which the chain may stop.
         :raises NoQuorumError: if the quorum does not answer in time.
         """
 
@@ -179,43 +182,43 @@
         chain = Operation(
             group,
             key,
-            NOBODY,
+            NO_QUORUM,
             lambda view, member: ReadChain(group, view.epoch, member.disk_id, key, known),
             lambda found: reaches_root(found.records, key, stop),
         )
         with contextlib.suppress(NoQuorumError):
             return self._ask_nearest(chain).records
-        return self._operate(chain._replace(quorum=READERS), timeout).records
+        return self._run(chain._replace(quorum=READ_QUORUM), timeout).records
 
     def _ask_nearest(self, operation: Operation) -> Round:
-        """Ask the nearest replica alone.
+        """Run an operation on the nearest replica alone.
 
-        :raises NoQuorumError: if it does not know enough, or says nothing.
+        :raises NoQuorumError: if it lacks records or does not answer in time.
         """
         view = self._view(operation.group)
-        end = self._now() + NEAREST_SECONDS
-        found = self._round(view, self._nearest(view), operation, end)
+        deadline = self._now() + NEAREST_SECONDS
+        found = self._run_round(view, self._nearest(view), operation, deadline)
         if not found.is_complete:
             raise NoQuorumError(f"group {operation.group}: not at the nearest replica")
         self._failing_since = None
         return found
 
-    def _operate(self, operation: Operation, timeout: float) -> Round:
-        end = self._now() + timeout
+    def _run(self, operation: Operation, timeout: float) -> Round:
+        deadline = self._now() + timeout
         while True:
             view = self._view(operation.group)
-            members = self._order(view, operation.key)
-            found = self._round(view, members, operation, end)
+            members = self._ordered_members(view, operation.key)
+            found = self._run_round(view, members, operation, deadline)
             if found.is_complete:
                 found.is_read_quorum = not view.joining and has_read_quorum(
                     view, found.read_responders
                 )
                 self._failing_since = None
                 return found
-            newer = self._views.get(operation.group) is not view or found.met_other_view
-            if not newer or self._now() + RETRY_SECONDS >= end:
+            newer = self._views.get(operation.group) is not view or found.saw_other_view
+            if not newer or self._now() + RETRY_SECONDS >= deadline:
                 self._note_failed()
-                if len(found.gone) == len(members):
+                if len(found.replaced) == len(members):
                     self.on_all_replaced(view)
                 answered = f"{found.answered} of {len(members)} answered"
                 raise NoQuorumError(f"group {operation.group}: {answered}")
@@ -226,7 +229,7 @@
             self._failing_since = self._now()
 
     def loss(self, group: int) -> str:
-        """Return what callers are told of a group that has lost its records; else nothing."""
+        """Return the message to callers if a group has lost its records; otherwise empty."""
         return loss_reason(group) if self.has_lost(group) else ""
 
     def _view(self, group: int) -> GroupView:
@@ -242,54 +245,55 @@
         in_zone = [member for member in view.members if member.zone == self._zone]
         return (in_zone or view.members)[:1]
 
-    def _order(self, view: GroupView, key: str) -> list[Member]:
-        """Return all members, those first that are asked first for a key.
+    def _ordered_members(self, view: GroupView, key: str) -> list[Member]:
+        """Return all members in the order to ask them for a key.
 
-        The own zone comes first, which saves bytes between zones; among the others the key
-        decides, so that the load is spread and its records mostly meet at one replica.
+        Members of this zone come first, which saves traffic between zones; replicas that were
+        slow recently come last. Otherwise the key determines the order, which spreads the load
+        and sends operations on the same key to the same replicas.
         """
         now = self._now()
 
-        def place(member: Member) -> tuple[bool, bool, int]:
-            is_slow = self._asked_last_until.get(member.disk_id, 0.0) > now
+        def sort_key(member: Member) -> tuple[bool, bool, int]:
+            is_slow = self._deprioritised_until.get(member.disk_id, 0.0) > now
             return is_slow, member.zone != self._zone, score(key, member.disk_id)
 
-        return sorted(all_members(view), key=place)
+        return sorted(all_members(view), key=sort_key)
 
-    def _round(
-        self, view: GroupView, members: list[Member], operation: Operation, end: float
+    def _run_round(
+        self, view: GroupView, members: list[Member], operation: Operation, deadline: float
     ) -> Round:
-        """Ask as many members as are needed; all others too if those do not suffice soon.
+        """Ask as many members as a quorum needs, and the others too if those are late.
 
-        :param members: those first that are asked first.
+        :param members: the members in the order to ask them.
         """
         needed = needed_members(view, members, operation.quorum)
         found = Round()
         begun = self._now()
-        self._ask(members[:needed], view, operation, found)
+        self._send(members[:needed], view, operation, found)
         has_rest = needed < len(members)
-        wait_s = min(self._slow_s(), end - begun) if has_rest else end - begun
+        wait_s = min(self._late_after_s(), deadline - begun) if has_rest else deadline - begun
         found.wait(wait_s, for_unreached=not has_rest)
         if found.is_complete:
-            self._usual_s += USUAL_WEIGHT * (self._now() - begun - self._usual_s)
+            self._typical_s += TYPICAL_WEIGHT * (self._now() - begun - self._typical_s)
         elif has_rest and not found.is_superseded:
             self._note_slow(found.silent)
-            self._ask(members[needed:], view, operation, found)
-            found.wait(end - self._now(), for_unreached=True)
+            self._send(members[needed:], view, operation, found)
+            found.wait(deadline - self._now(), for_unreached=True)
         found.close()
         return found
 
-    def _slow_s(self) -> float:
-        """Return the seconds after which replies are held to be late."""
-        return min(max(SLOW_FACTOR * self._usual_s, LEAST_SLOW_SECONDS), MOST_SLOW_SECONDS)
+    def _late_after_s(self) -> float:
+        """Return the seconds after which replies count as late."""
+        return min(max(SLOW_FACTOR * self._typical_s, MIN_SLOW_SECONDS), MAX_SLOW_SECONDS)
 
-    def _ask(
+    def _send(
         self, members: list[Member], view: GroupView, operation: Operation, found: Round
     ) -> None:
-        """Send a request to members; what they reply goes into a round."""
+        """Send a request to members and collect their replies in a round."""
         found.silent |= {member.disk_id for member in members}
         for member in members:
-            self._post(member, view, operation, found, is_told=False)
+            self._post(member, view, operation, found, knows_view=False)
 
     def _post(
         self,
@@ -297,31 +301,31 @@
         view: GroupView,
         operation: Operation,
         found: Round,
-        is_told: bool,
+        knows_view: bool,
     ) -> None:
-        """Send a request to a member, again if it did not know the view or was not reached.
+        """Send a request to a member; send it again if the view was unknown or the link failed.
 
-        :param is_told: whether it was told of the view before.
+        :param knows_view: whether the view was sent to the member before.
         """
 
-        def take(reply: object | None) -> None:
-            if is_behind(reply) and not is_told:
-                found.met_other_view = True
-                link.post(InstallView(view), lambda reply: ask_again(is_told=True))
+        def handle_reply(reply: object | None) -> None:
+            if is_behind(reply) and not knows_view:
+                found.saw_other_view = True
+                link.post(InstallView(view), lambda reply: post_again(knows_view=True))
                 return
             if reply is None:
-                eventlet.spawn_after(UNREACHED_RETRY_SECONDS, ask_again, is_told=is_told)
-            self._take(reply, member, view, operation, found)
+                eventlet.spawn_after(UNREACHED_RETRY_SECONDS, post_again, knows_view=knows_view)
+            self._handle_reply(reply, member, view, operation, found)
 
-        def ask_again(is_told: bool) -> None:
+        def post_again(knows_view: bool) -> None:
             if not found.is_closed:
-                self._post(member, view, operation, found, is_told=is_told)
+                self._post(member, view, operation, found, knows_view=knows_view)
 
         link = self._links.get(member.address)
-        number = link.post(operation.request(view, member), take)
+        number = link.post(operation.request(view, member), handle_reply)
         found.posted.append(Posted(link, number, member.disk_id))
 
-    def _take(
+    def _handle_reply(
         self,
         reply: object | None,
         member: Member,
@@ -329,7 +333,7 @@
         operation: Operation,
         found: Round,
     ) -> None:
-        """Take a member's last reply into a round."""
+        """Add a member's reply to a round; None if the connection failed."""
         found.silent.discard(member.disk_id)
         if reply is None:
             found.unreached.add(member.disk_id)
@@ -338,16 +342,16 @@
             found.unreached.discard(member.disk_id)
             found.answered += 1
         if isinstance(reply, RecordsReply | KeysReply):
-            self._take_reply(member, reply, found)
+            self._merge_reply(member, reply, found)
         found.is_complete = operation.is_complete(view, found)
         found.wake()
 
     def _note_slow(self, disks: Collection[str]) -> None:
-        until = self._now() + ASKED_LAST_SECONDS
+        until = self._now() + DEPRIORITISED_SECONDS
         for disk_id in disks:
-            self._asked_last_until[disk_id] = until
+            self._deprioritised_until[disk_id] = until
 
-    def _take_reply(self, member: Member, reply: RecordsReply | KeysReply, found: Round) -> None:
+    def _merge_reply(self, member: Member, reply: RecordsReply | KeysReply, found: Round) -> None:
         if reply.status is ReplyStatus.OK:
             found.acknowledged.add(member.disk_id)
             if reply.is_reader:
@@ -357,10 +361,10 @@
             else:
                 found.merge_amounts(reply)
         elif reply.status is ReplyStatus.OTHER_DISK:
-            found.gone.add(member.disk_id)
+            found.replaced.add(member.disk_id)
         elif reply.status is ReplyStatus.BEHIND:
-            found.met_other_view = True
+            found.saw_other_view = True
         elif reply.status is ReplyStatus.STALE:
-            found.met_other_view = found.is_superseded = True
+            found.saw_other_view = found.is_superseded = True
             if reply.view is not None:
                 self._views.update(reply.view)
--- a/yarrowwall/replication/replica.py
+++ b/yarrowwall/replication/replica.py
@@ -1,8 +1,8 @@
 """A replica of the record store as a state machine without I/O.
 
-The replica answers requests of its own epoch only, and only to senders that mean its
-disk. A view counts once it is on disk: a replica that forgot an epoch by a loss of
-power would again acknowledge writes that the change of the group left behind.
+The replica answers only requests of its own epoch that name its disk. A view takes effect once it
+is on disk: a replica that forgot an epoch in a power failure would again acknowledge writes of an
+epoch that the group has left.
 """
 
 from collections.abc import Iterable
@@ -43,18 +43,18 @@
 )
 Reply = RecordsReply | KeysReply | StatusReply
 
-#: Epoch of the first view; before it nothing was ever written.
+#: Epoch of a group's first view. No record was written before it.
 FIRST_EPOCH = 1
-#: Records written as one log record by a snapshot.
+#: Records that a snapshot writes as one log record.
 _RECORDS_PER_FRAME = 128
 
 
 @dataclass(frozen=True)
 class Outcome:
-    """What a request leads to.
+    """The result of a request.
 
-    :param reply: to be sent once ``persist`` is on disk.
-    :param persist: log records in order.
+    :param reply: the reply, to be sent once ``persist`` is on disk.
+    :param persist: log records to write, in order.
     """
 
     reply: Reply
@@ -62,9 +62,13 @@
 
 
 class RecordReplica:
-    """State and rules of one replica.
+    """State machine of one replica.
 
-    :param disk_id: identity of its data folder.
+    :param disk_id: the id of its data folder.
+    :ivar view: the newest view on disk; None if the replica never had one.
+    :ivar counts_for_reads: whether the replica holds every complete record, so that its answers
+        count for a read quorum.
+    :ivar synchronised_epoch: the newest epoch in which it finished a copy.
     """
 
     def __init__(self, node_id: str, disk_id: str) -> None:
@@ -72,35 +76,38 @@
         self.disk_id = disk_id
         self.table = RecordTable()
         self.view: GroupView | None = None
-        self._coming: GroupView | None = None
+        self._pending_view: GroupView | None = None
         self.counts_for_reads = False
         self.synchronised_epoch = 0
         self._pending_writes: set[tuple[str, int]] = set()
 
     @property
     def epoch(self) -> int:
-        """Return the epoch that the replica answers in."""
+        """Return the epoch whose requests the replica answers; 0 without a view."""
         return self.view.epoch if self.view is not None else 0
 
     @property
     def _newest_epoch(self) -> int:
-        """Return the newest epoch heard of; requests of older ones are refused."""
-        return max(self.epoch, self._coming.epoch if self._coming is not None else 0)
+        """Return the newest known epoch, also if it is not on disk yet.
 
-    # The disk
+        Requests of older epochs are refused.
+        """
+        return max(self.epoch, self._pending_view.epoch if self._pending_view is not None else 0)
+
+    # Log records
 
     def restore(self, records: Iterable[LogRecord], now: float) -> None:
-        """Take in the log that was found on disk."""
+        """Apply the log records that were read from disk."""
         for record in records:
             if isinstance(record, RecordsKept):
                 self.table.put(record.records, now)
             elif isinstance(record, ViewKept):
-                self._take_view(record.view)
+                self._apply_view(record.view)
             else:
-                self._take_synchronisation(record)
+                self._apply_synchronisation(record)
 
     def snapshot(self) -> list[LogRecord]:
-        """Return a log that restores this state."""
+        """Return log records that restore this state."""
         found: list[LogRecord] = []
         if self.view is not None:
             found.append(ViewKept(self.view))
@@ -113,57 +120,58 @@
     def mark_durable(self, record: LogRecord) -> None:
         """Note that a log record is on disk."""
         if isinstance(record, ViewKept):
-            self._take_view(record.view)
+            self._apply_view(record.view)
         elif isinstance(record, SynchronisationKept):
-            self._take_synchronisation(record)
+            self._apply_synchronisation(record)
         else:
             self._pending_writes -= {(kept.key, kept.version) for kept in record.records}
 
     def mark_failed(self, record: LogRecord) -> None:
-        """Note that the disk refused a log record."""
+        """Note that a log record could not be written."""
         if isinstance(record, ViewKept):
-            self._coming = None
+            self._pending_view = None
 
-    def _follows_on(self, known: GroupView | None, view: GroupView) -> bool:
-        """Return whether a view is to be taken by a replica that knows another one."""
+    def _supersedes(self, known: GroupView | None, view: GroupView) -> bool:
+        """Return whether a view replaces the known one in this replica."""
         if known is None or view.epoch > known.epoch:
             return True
-        # Epochs of different groups tell nothing of each other. A replica that its group has
-        # released belongs to whichever group names it next.
+        # Epochs of different groups cannot be compared. A replica that is no member of its group
+        # any more joins the next group that names it.
         is_released = view.group != known.group and member_of(known, self.disk_id) is None
         return is_released and member_of(view, self.disk_id) is not None
 
-    def _take_view(self, view: GroupView) -> None:
-        if not self._follows_on(self.view, view):
+    def _apply_view(self, view: GroupView) -> None:
+        if not self._supersedes(self.view, view):
             return
         if self.view is not None and view.group != self.view.group:
-            # What was copied in one group counts for nothing in another.
+            # A copy from one group does not count in another.
             self.counts_for_reads, self.synchronised_epoch = False, 0
-        is_first, follows = self.view is None, view.epoch == self.epoch + 1
+        is_first_view, follows_directly = self.view is None, view.epoch == self.epoch + 1
         self.view = view
         is_member = self.disk_id in disk_ids(view.members)
-        if view.epoch == FIRST_EPOCH and is_first:
+        if view.epoch == FIRST_EPOCH and is_first_view:
             self.counts_for_reads = is_member
         elif view.joining:
-            # A change begins: whoever counted before it still does, unless it missed
+            # A change begins: a replica that counted before it still counts, unless it missed
             # another change in between.
-            self.counts_for_reads = self.counts_for_reads and follows and is_member
+            self.counts_for_reads = self.counts_for_reads and follows_directly and is_member
         else:
-            # A change is over: only who copied during it holds all that was complete.
+            # A change ends: only replicas that copied during it hold every complete record.
             self.counts_for_reads = is_member and self.synchronised_epoch == view.epoch - 1
 
-    def _take_synchronisation(self, record: SynchronisationKept) -> None:
+    def _apply_synchronisation(self, record: SynchronisationKept) -> None:
         self.synchronised_epoch = max(self.synchronised_epoch, record.epoch)
-        # The mark of a settled group still holds once the next change has begun, not later.
-        begun = self.view is not None and bool(self.view.joining)
-        if record.epoch == self.epoch or (begun and record.epoch + 1 == self.epoch):
+        # The mark from a settled view is still valid in the view that begins the next change, but
+        # not in later ones.
+        is_changing = self.view is not None and bool(self.view.joining)
+        if record.epoch == self.epoch or (is_changing and record.epoch + 1 == self.epoch):
             self.counts_for_reads = record.is_reader
 
     # Synchronisation
 
     @property
     def needs_synchronisation(self) -> bool:
-        """Return whether the replica has to copy from others before it counts."""
+        """Return whether the replica has to copy from others before it counts for reads."""
         if self.view is None or member_of(self.view, self.disk_id) is None:
             return False
         if self.view.joining:
@@ -172,7 +180,7 @@
         return not self.counts_for_reads
 
     def missing(self, keys: list[str], versions: list[int]) -> list[str]:
-        """Return the keys of which a newer version is listed than the one held."""
+        """Return the keys that are unknown here or listed with a newer version."""
         found = []
         for key, version in zip(keys, versions, strict=True):
             held = self.table.get(key)
@@ -181,28 +189,28 @@
         return found
 
     def store_copied(self, records: list[StoredRecord], now: float) -> list[LogRecord]:
-        """Take in copied records; return what must go to disk."""
-        to_keep = self._take_records(records, now)
+        """Store copied records; return the log records to write."""
+        to_keep = self._store_records(records, now)
         return [RecordsKept(to_keep)] if to_keep else []
 
-    def _take_records(self, records: list[StoredRecord], now: float) -> list[StoredRecord]:
-        """Take records in; return those that are not on disk yet.
+    def _store_records(self, records: list[StoredRecord], now: float) -> list[StoredRecord]:
+        """Store records; return those of them that are not on disk yet.
 
-        A record that is held may still be on its way to the disk, or the disk may have
-        refused it; it is written again with its copy.
+        A known record may still be waiting for its write, or the write may have failed; it is
+        then written again.
         """
-        news = self.table.put(records, now)
-        self._pending_writes |= {(record.key, record.version) for record in news}
+        newer = self.table.put(records, now)
+        self._pending_writes |= {(record.key, record.version) for record in newer}
         return [
             record for record in records if (record.key, record.version) in self._pending_writes
         ]
 
     def synchronisation_mark(self, view: GroupView) -> LogRecord | None:
-        """Return the mark of a finished copy; None if the view has changed meanwhile."""
+        """Return the log record that marks a copy as finished; None if the view has changed."""
         if self.view is None or (self.view.group, self.view.epoch) != (view.group, view.epoch):
             return None
-        if self._coming is not None and self._coming.group != view.group:
-            # The mark would be on disk behind the view of another group, and count there.
+        if self._pending_view is not None and self._pending_view.group != view.group:
+            # The mark would follow the other group's view in the log, and count there.
             return None
         counts_for_reads = self.counts_for_reads if self.view.joining else True
         return SynchronisationKept(view.epoch, counts_for_reads)
@@ -210,7 +218,7 @@
     # Requests
 
     def handle(self, request: Request, now: float) -> Outcome:
-        """Return what a request leads to."""
+        """Handle a request; return the reply and the log records to write before it is sent."""
         if isinstance(request, AskStatus):
             return Outcome(self.status())
         if isinstance(request, InstallView):
@@ -223,36 +231,36 @@
         if isinstance(request, ReserveRecord):
             return self._reserve(request.record, now)
         if isinstance(request, ListKeys):
-            return Outcome(self._listed(self.table.all()))
+            return Outcome(self._keys_reply(self.table.all()))
         if isinstance(request, ReadOwner):
-            return Outcome(self._owner_listed(request.owner))
+            return Outcome(self._owner_reply(request.owner))
         if isinstance(request, ReadChain):
-            return Outcome(self._found(self.table.chain(request.key, request.known)))
+            return Outcome(self._records_reply(self.table.chain(request.key, request.known)))
         records = [self.table.get(key) for key in request.keys]
-        return Outcome(self._found([record for record in records if record is not None]))
+        return Outcome(self._records_reply([record for record in records if record is not None]))
 
     def status(self) -> StatusReply:
-        """Return the replica's state."""
+        """Return the replica's status."""
         return StatusReply(
             self.node_id, self.disk_id, self.epoch, self.counts_for_reads, self.synchronised_epoch
         )
 
     def _install(self, view: GroupView) -> Outcome:
-        known = self.view if self._coming is None else self._coming
-        if not (self._follows_on(known, view) and self._follows_on(self.view, view)):
+        known = self.view if self._pending_view is None else self._pending_view
+        if not (self._supersedes(known, view) and self._supersedes(self.view, view)):
             return Outcome(self.status())
-        self._coming = view
+        self._pending_view = view
         return Outcome(self.status(), [ViewKept(view)])
 
     def install_view(self, view: GroupView) -> list[LogRecord]:
-        """Take a view heard of elsewhere; return what must go to disk."""
+        """Accept a view from outside of a request; return the log records to write."""
         return self._install(view).persist
 
     def _refusal(self, group: int, epoch: int, disk_id: str) -> ReplyStatus | None:
         if disk_id != self.disk_id:
             return ReplyStatus.OTHER_DISK
         if self.view is not None and group != self.view.group:
-            # Whoever asks tells its view, and this replica judges it.
+            # The sender then installs its view, which this replica accepts or not.
             return ReplyStatus.BEHIND
         if epoch < self._newest_epoch:
             return ReplyStatus.STALE
@@ -267,22 +275,22 @@
         return RecordsReply(status, False, [], view)
 
     def _write(self, request: WriteRecords, now: float) -> Outcome:
-        to_keep = self._take_records(request.records, now)
-        return Outcome(self._found([]), [RecordsKept(to_keep)] if to_keep else [])
+        to_keep = self._store_records(request.records, now)
+        return Outcome(self._records_reply([]), [RecordsKept(to_keep)] if to_keep else [])
 
     def _reserve(self, record: StoredRecord, now: float) -> Outcome:
-        # The reply tells what is held now, before the disk has the record: of two
-        # reservations that meet here, the later one sees the earlier one.
-        to_keep = self._take_records([record], now)
-        return Outcome(self._owner_listed(record.owner), [RecordsKept(to_keep)] if to_keep else [])
+        # The reply lists the state of now, before the record is on disk: of two reservations that
+        # meet at this replica, the later one sees the earlier one.
+        to_keep = self._store_records([record], now)
+        return Outcome(self._owner_reply(record.owner), [RecordsKept(to_keep)] if to_keep else [])
 
-    def _owner_listed(self, owner: str) -> KeysReply:
-        return self._listed(self.table.of_owner(owner), self.table.newest_note(owner))
+    def _owner_reply(self, owner: str) -> KeysReply:
+        return self._keys_reply(self.table.of_owner(owner), self.table.newest_note(owner))
 
-    def _found(self, records: list[StoredRecord]) -> RecordsReply:
+    def _records_reply(self, records: list[StoredRecord]) -> RecordsReply:
         return RecordsReply(ReplyStatus.OK, self.counts_for_reads, records, None)
 
-    def _listed(self, records: list[StoredRecord], note: str = "") -> KeysReply:
+    def _keys_reply(self, records: list[StoredRecord], note: str = "") -> KeysReply:
         return KeysReply(
             ReplyStatus.OK,
             self.counts_for_reads,
@@ -295,7 +303,7 @@
 
     def validate_state(self) -> None:
         """Raise AssertionError if the state contradicts itself."""
-        if self._coming is not None and self.view is not None:
+        if self._pending_view is not None and self.view is not None:
             assert self._newest_epoch >= self.epoch
         if self.counts_for_reads:
-            assert self.view is not None, "a reader without a group"
+            assert self.view is not None, "a replica without a view counts for reads"
--- a/yarrowwall/replication/rounds.py
+++ b/yarrowwall/replication/rounds.py
@@ -1,4 +1,4 @@
-"""The replies to one request of several replicas, and the wait for them."""
+"""Collects the replies of several replicas to one request."""
 
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
@@ -12,7 +12,7 @@
 
 
 class _Versioned(Protocol):
-    """Anything of which a higher version replaces a lower one."""
+    """A value with a version; the higher version replaces the lower one."""
 
     @property
     def version(self) -> int:
@@ -24,21 +24,21 @@
 
 @dataclass(frozen=True)
 class Amount:
-    """What a record counts for."""
+    """The tokens that a record accounts for."""
 
     version: int
     tokens: int
 
 
 def _keep_newest(held: dict[str, _V], key: str, value: _V) -> None:
-    """Take a value in unless as high a version is held."""
-    known = held.get(key)
-    if known is None or known.version < value.version:
+    """Store a value unless the held one has the same or a higher version."""
+    held_value = held.get(key)
+    if held_value is None or held_value.version < value.version:
         held[key] = value
 
 
 def merged(one: Mapping[str, Amount], other: Mapping[str, Amount]) -> dict[str, Amount]:
-    """Return the amounts of two readings; the higher version of a key wins."""
+    """Merge the amounts of two readings; the higher version of a key wins."""
     found = dict(one)
     for key, amount in other.items():
         _keep_newest(found, key, amount)
@@ -46,9 +46,10 @@
 
 
 class Posted(NamedTuple):
-    """A request that was sent.
+    """A request that was sent to a replica.
 
-    :param number: by which the link forgets it.
+    :param number: the request's number at the link.
+    :param disk_id: the replica's disk.
     """
 
     link: Link
@@ -58,14 +59,23 @@
 
 @dataclass
 class Round:
-    """The replies to one request of several replicas.
-
-    :param met_other_view: whether a replica knows an earlier or a later view.
-    :param is_superseded: whether a later view is known, in which the request is to be made anew.
+    """The replies of several replicas to one request.
+
+    :param acknowledged: disks of replicas that carried out the request.
+    :param read_responders: those of them that count for a read quorum.
+    :param records: the newest version of each record in the replies.
+    :param amounts: the newest version of each amount in the replies.
+    :param note: the owner's note from the last reply that has one.
+    :param is_read_quorum: whether the replies contain every complete record.
+    :param answered: number of replies, including refusals.
+    :param saw_other_view: whether a replica knows an earlier or a later view.
+    :param is_superseded: whether a later view is known, in which the request must be repeated.
     :param unreached: disks of replicas whose connection failed; they are asked again.
-    :param silent: disks of those that were asked and have not replied.
-    :param gone: disks in whose place another one replied.
-    :param is_closed: whether no more replies are taken.
+    :param is_complete: whether the replies complete the operation.
+    :param is_closed: whether the round is over.
+    :param silent: disks of replicas that were asked and have not replied.
+    :param replaced: disks in whose place another one replied.
+    :param posted: the requests that were sent.
     """
 
     acknowledged: set[str] = field(default_factory=set)
@@ -75,54 +85,54 @@
     note: str = ""
     is_read_quorum: bool = False
     answered: int = 0
-    met_other_view: bool = False
+    saw_other_view: bool = False
     is_superseded: bool = False
     unreached: set[str] = field(default_factory=set)
     is_complete: bool = False
     is_closed: bool = False
     silent: set[str] = field(default_factory=set)
-    gone: set[str] = field(default_factory=set)
+    replaced: set[str] = field(default_factory=set)
     posted: list[Posted] = field(default_factory=list)
     _wakeup: Event = field(default_factory=Event)
     _waits_for_unreached: bool = False
 
     def wait(self, timeout_s: float, for_unreached: bool) -> None:
-        """Wait until the replies suffice or no reply that is still to come matters.
+        """Wait until the operation is complete or superseded, or no more replies are awaited.
 
-        :param for_unreached: whether replicas matter that are to be asked again.
+        :param for_unreached: whether replicas whose connection failed are awaited too.
         """
         self._waits_for_unreached = for_unreached
-        if self._is_over or timeout_s <= 0.0:
+        if self._is_finished or timeout_s <= 0.0:
             return
         self._wakeup = Event()
         self._wakeup.wait(timeout_s)
-        if not self._is_over:
-            # Lets replies be read that came while the process was held up.
+        if not self._is_finished:
+            # Gives replies that arrived while the process was delayed a chance to be read.
             eventlet.sleep(0)
 
     def wake(self) -> None:
-        """End the wait if there is nothing more to wait for."""
-        if self._is_over and not self._wakeup.ready():
+        """End the wait if no more replies are awaited."""
+        if self._is_finished and not self._wakeup.ready():
             self._wakeup.send()
 
     @property
-    def _is_over(self) -> bool:
+    def _is_finished(self) -> bool:
         is_awaited = self.silent or (self._waits_for_unreached and self.unreached)
         return self.is_complete or self.is_superseded or not is_awaited
 
     def close(self) -> None:
-        """Take no more replies."""
+        """Stop waiting for replies."""
         self.is_closed = True
         for one in self.posted:
             one.link.forget(one.number, is_late=one.disk_id in self.silent)
 
     def merge(self, records: Sequence[StoredRecord]) -> None:
-        """Take in records; the higher version of a key wins."""
+        """Merge records; the higher version of a key wins."""
         for record in records:
             _keep_newest(self.records, record.key, record)
 
     def merge_amounts(self, reply: KeysReply) -> None:
-        """Take in amounts; the higher version of a key wins."""
+        """Merge a reply's amounts and note; the higher version of a key wins."""
         self.note = reply.note or self.note
         for key, version, tokens in zip(reply.keys, reply.versions, reply.amounts, strict=True):
             _keep_newest(self.amounts, key, Amount(version, tokens))
--- a/yarrowwall/replication/rpc.py
+++ b/yarrowwall/replication/rpc.py
@@ -1,4 +1,4 @@
-"""Requests and replies between nodes: frames over TCP, matched by number.
+"""Requests and replies between nodes as frames over TCP, matched by number.
 
 A frame is a four-byte length, a four-byte number and one encoded message.
 """
@@ -22,20 +22,20 @@
 from yarrowwall.replication.exceptions import FrameError, LinkDownError
 from yarrowwall.sockets import Receiver, open_socket, set_silence_limits
 
-#: Longest frame that is read; longer ones close the connection.
-MOST_FRAME_BYTES = 64 * 1024 * 1024
-#: Seconds for a connection to come up.
+#: Size limit of a received frame; a longer one closes the connection.
+MAX_FRAME_BYTES = 64 * 1024 * 1024
+#: Timeout of a connection attempt in seconds.
 CONNECT_SECONDS = 0.3
-#: Seconds in which a connection says nothing although it was asked, after which a new one is
-#: opened. A connection may fall silent for good without a reset, while its peer's kernel goes
-#: on acknowledging; answers take milliseconds.
+#: Seconds without any frame on a connection with overdue replies after which it is closed. A
+#: connection may fall silent for good without a reset while the peer's kernel still acknowledges
+#: data; answers take milliseconds.
 SILENT_SECONDS = 1.0
-#: Seconds after a failed connection in which requests fail at once.
-DOWN_SECONDS = 0.1
+#: Seconds after a failed connection attempt during which requests fail at once.
+RECONNECT_DELAY_SECONDS = 0.1
 _READ_BYTES = 256 * 1024
-#: Number of frames that get no reply; requests are numbered from 1 to the most.
+#: Number of frames that get no reply. Requests are numbered from 1 to the maximum, then from 1.
 NO_REPLY = 0
-MOST_NUMBER = 2**32 - 1
+MAX_NUMBER = 2**32 - 1
 
 _HEADER = struct.Struct(">II")
 #: Called with the reply, or with None if none will come.
@@ -43,12 +43,12 @@
 
 
 class FrameChannel:
-    """One connection that carries frames both ways.
+    """A connection that carries frames in both directions.
 
-    :param peer: the address at its other end.
-    :param receive: called with number and message of each frame; with None for a message that
-        this release does not have.
-    :param closed: called once the connection is over.
+    :param peer: the address of the peer.
+    :param receive: called with the number and message of each frame; the message is None if this
+        release does not know its type.
+    :param closed: called once when the connection ends.
     """
 
     def __init__(
@@ -73,7 +73,7 @@
         eventlet.spawn_n(self._write)
 
     def send(self, number: int, message: object) -> None:
-        """Send a frame, or queue it behind others that still wait."""
+        """Send a frame, or queue it behind frames that still wait."""
         body = encode(message)
         frame = _HEADER.pack(len(body), number) + body
         if not self._outgoing and not self._is_writing:
@@ -85,10 +85,10 @@
             self._wakeup.send()
 
     def _send_now(self, frame: bytes) -> bytes:
-        """Return what the kernel does not take at once.
+        """Write a frame to the socket; return the rest that the kernel does not accept at once.
 
-        Most frames fit, which saves a switch to the writing greenthread and back. An
-        error is left to that greenthread, so no completion is called from here.
+        Most frames fit, which saves a switch to the writing greenthread and back. Errors are left
+        to that greenthread, so that no completion is called from here.
         """
         try:
             sent = self._connection.fd.send(frame)  # type: ignore[attr-defined]
@@ -97,10 +97,11 @@
         return frame[sent:]
 
     def close(self) -> None:
-        """End the connection; its reading greenthread wakes up and closes it.
+        """Shut the connection down; its reading greenthread wakes up and closes the socket.
 
-        Closed under that greenthread, its descriptor would stay with eventlet's hub until the
-        number is used again; if by the thread pool of the disk, that pool ends.
+        If the socket were closed while that greenthread waits, its descriptor would stay
+        registered with eventlet's hub until the number is reused. If the thread pool for disk
+        writes reuses it, the pool ends.
         """
         if not self.is_open:
             return
@@ -135,25 +136,25 @@
                 if not data:
                     break
                 buffer += data
-                self._take_frames(buffer)
+                self._handle_frames(buffer)
         except FrameError as error:
             self._log.write(decisions.PeerConnectionClosed(self._peer, str(error)))
         except OSError:
-            # The peer is gone or reset it: who waits for an answer is told by ``closed``.
+            # The peer is gone or reset the connection; ``closed`` notifies waiting callers.
             pass
         except Exception:
-            # A fault in a handler: its machine goes on, and so do its other connections.
+            # A fault in a handler ends this connection only, not the process or other connections.
             self._log.write(decisions.InternalFault("", traceback.format_exc()))
         finally:
             self.close()
             receiver.close()
             self._connection.close()
 
-    def _take_frames(self, buffer: bytearray) -> None:
+    def _handle_frames(self, buffer: bytearray) -> None:
         start = 0
         while len(buffer) - start >= _HEADER.size:
             length, number = _HEADER.unpack_from(buffer, start)
-            if length > MOST_FRAME_BYTES:
+            if length > MAX_FRAME_BYTES:
                 raise FrameError(f"a frame of {length} bytes")
             end = start + _HEADER.size + length
             if len(buffer) < end:
@@ -164,9 +165,9 @@
         del buffer[:start]
 
     def _decoded(self, body: bytes) -> object | None:
-        """Return a frame's message; None if only a later release has it.
+        """Return a frame's message; None if this release does not know its type.
 
-        :raises FrameError: if it is no message.
+        :raises FrameError: if it is no valid message.
         """
         try:
             return decode(body)
@@ -180,15 +181,15 @@
 class _Posted(NamedTuple):
     """A request that waits for its reply.
 
-    :param at: when it was posted, on the monotonic clock.
+    :param posted_at: when it was posted, on the monotonic clock.
     """
 
     completion: Completion
-    at: float
+    posted_at: float
 
 
 class Link:
-    """Requests to one node; the connection is opened when it is needed.
+    """Sends requests to one node over a connection that is opened when needed.
 
     :param now: the monotonic clock.
     """
@@ -206,11 +207,11 @@
         self._silent_since: float | None = None
 
     def post(self, message: object, completion: Completion) -> int:
-        """Send a request; ``completion`` is called with its reply or None.
+        """Send a request; ``completion`` is called with its reply, or None if none will come.
 
-        :returns: a number to forget the request by.
+        :returns: the request's number, for :meth:`forget` and :meth:`note_late`.
         """
-        self._number = self._number % MOST_NUMBER + 1
+        self._number = self._number % MAX_NUMBER + 1
         self._waiting[self._number] = _Posted(completion, self._now())
         if self._channel is not None and self._channel.is_open:
             self._channel.send(self._number, message)
@@ -222,7 +223,7 @@
         return self._number
 
     def send_one_way(self, message: object) -> None:
-        """Send what needs no reply, if there is a connection; it may be lost."""
+        """Send a message without a reply if a connection is open; it may be lost."""
         if self._channel is not None and self._channel.is_open:
             self._channel.send(NO_REPLY, message)
 
@@ -235,7 +236,7 @@
         number = self.post(message, lambda reply: None if arrived.ready() else arrived.send(reply))
         reply = arrived.wait(timeout)
         if reply is None:
-            # Lets a reply be read that came while the process was held up.
+            # Gives a reply that arrived while the process was delayed a chance to be read.
             eventlet.sleep(0)
             reply = arrived.wait() if arrived.ready() else None
         self.forget(number, is_late=reply is None)
@@ -244,23 +245,23 @@
         return reply
 
     def forget(self, number: int, is_late: bool = False) -> None:
-        """Wait no more for a reply.
+        """Stop waiting for a reply.
 
-        :param is_late: whether it should have come by now.
+        :param is_late: whether the reply is overdue.
         """
         posted = self._waiting.pop(number, None)
         self._queued.pop(number, None)
         if is_late and posted is not None:
-            self._note_silence(posted.at)
+            self._note_silence(posted.posted_at)
 
     def note_late(self, number: int) -> None:
-        """Note that a reply should have come by now; it is still taken in if it comes."""
+        """Note that a reply is overdue; it is still accepted if it comes."""
         posted = self._waiting.get(number)
         if posted is not None:
-            self._note_silence(posted.at)
+            self._note_silence(posted.posted_at)
 
     def _note_silence(self, since: float) -> None:
-        """Give the connection up once it has been silent for long."""
+        """Close the connection if it has been silent for too long."""
         if self._silent_since is None:
             self._silent_since = since
         if self._now() - self._silent_since >= SILENT_SECONDS and self._channel is not None:
@@ -281,15 +282,15 @@
             self._channel.send(number, message)
 
     def _connect(self) -> socket.socket | None:
-        """Return a new connection; None if the node is down or was a moment ago."""
-        # What is asked meanwhile must not put off the next try, or steady requests would
-        # keep a node that is back down for ever.
+        """Return a new connection; None if the node is down or the last attempt just failed."""
+        # Requests in between must not delay the next attempt, or steady requests would prevent
+        # the connection to a recovered node for ever.
         if self._now() < self._down_until:
             return None
         try:
             return open_socket(self.address, CONNECT_SECONDS)
         except ConnectError:
-            self._down_until = self._now() + DOWN_SECONDS
+            self._down_until = self._now() + RECONNECT_DELAY_SECONDS
             return None
 
     def _receive(self, number: int, message: object | None) -> None:
@@ -314,7 +315,7 @@
 
 
 class LinkTable:
-    """Links by address.
+    """Links by address, created on first use.
 
     :param now: the monotonic clock.
     """
@@ -332,12 +333,12 @@
         return link
 
 
-#: Called with a request and with what sends its reply.
+#: Called with a request and a function that sends its reply.
 RequestHandler = Callable[[object, Callable[[object], None]], None]
 
 
 def serve_requests(listener: socket.socket, handle: RequestHandler, log: DecisionLog) -> None:
-    """Accept connections and hand over their requests until the listener is closed."""
+    """Accept connections and pass their requests to a handler until the listener is closed."""
     while True:
         try:
             connection, (host, port) = listener.accept()
--- a/yarrowwall/replication/synchroniser.py
+++ b/yarrowwall/replication/synchroniser.py
@@ -1,4 +1,4 @@
-"""Copying what a group has completed to a replica that joins or has missed a change."""
+"""Copies a group's complete records to a replica that joins or has missed a change."""
 
 from collections.abc import Callable
 
@@ -21,18 +21,20 @@
 from yarrowwall.replication.rpc import LinkTable
 from yarrowwall.replication.views import has_read_quorum
 
-#: Seconds before a copy that could not be finished is tried again.
+#: Seconds before a failed copy is retried.
 RETRY_SECONDS = 0.2
-#: Seconds that a machine may take to answer.
-ANSWER_SECONDS = 1.0
-#: Records fetched at once.
+#: Timeout of a request in seconds.
+REPLY_TIMEOUT_SECONDS = 1.0
+#: Records fetched with one request.
 PAGE_RECORDS = 200
 
 
 class Synchroniser:
-    """Keeps the own replica's copy complete.
+    """Keeps this machine's replica synchronised with its group.
 
-    :param look_s: seconds between looks whether a copy is needed when nobody asked for one.
+    :param now: the clock for the expiry of copied records.
+    :param check_interval_s: seconds between two checks whether a copy is needed; see also
+        :meth:`check_now`.
     """
 
     def __init__(
@@ -41,22 +43,22 @@
         links: LinkTable,
         log: DecisionLog,
         now: Callable[[], float],
-        look_s: float = RETRY_SECONDS,
+        check_interval_s: float = RETRY_SECONDS,
     ) -> None:
         self._disk = disk
         self._replica = disk.replica
         self._links = links
         self._log = log
         self._now = now
-        self._look_s = look_s
+        self._check_interval_s = check_interval_s
         self._wakeup = eventlet.event.Event()
 
     def start(self) -> None:
-        """Begin to watch over the copy."""
+        """Start checking in the background."""
         eventlet.spawn_n(self._run)
 
     def check_now(self) -> None:
-        """Look at once whether a copy is needed."""
+        """Check at once whether a copy is needed."""
         if not self._wakeup.ready():
             self._wakeup.send()
 
@@ -64,7 +66,7 @@
         while True:
             view = self._replica.view
             if view is None or not self._replica.needs_synchronisation:
-                self._wakeup.wait(self._look_s)
+                self._wakeup.wait(self._check_interval_s)
                 if self._wakeup.ready():
                     self._wakeup = eventlet.event.Event()
                 continue
@@ -72,26 +74,32 @@
                 eventlet.sleep(RETRY_SECONDS)
 
     def _synchronise(self, view: GroupView) -> bool:
-        """Copy from so many members that they share one with every complete write."""
-        readers = {self._replica.disk_id} if self._replica.counts_for_reads else set()
+        """Copy from a read quorum of the members; return whether the copy was finished."""
+        copied_disks = {self._replica.disk_id} if self._replica.counts_for_reads else set()
         copied = 0
         for member in view.members:
-            if has_read_quorum(view, readers):
+            if has_read_quorum(view, copied_disks):
                 break
-            if member.disk_id in readers or member.disk_id == self._replica.disk_id:
+            if member.disk_id in copied_disks or member.disk_id == self._replica.disk_id:
                 continue
             count = self._copy_from(view, member)
             if count is not None:
-                readers.add(member.disk_id)
+                copied_disks.add(member.disk_id)
                 copied += count
-        return has_read_quorum(view, readers) and self._finish(view, copied)
+        return has_read_quorum(view, copied_disks) and self._finish(view, copied)
 
     def _copy_from(self, view: GroupView, member: Member) -> int | None:
-        """Copy what one member has; return how many records, None if it does not count."""
+        """Copy the records of one member that are missing here; return their number.
+
+        None if the member does not answer, does not count for reads or knows another view, or
+        if the disk failed.
+        """
         link = self._links.get(member.address)
         try:
-            link.call(InstallView(view), ANSWER_SECONDS)
-            listed = link.call(ListKeys(view.group, view.epoch, member.disk_id), ANSWER_SECONDS)
+            link.call(InstallView(view), REPLY_TIMEOUT_SECONDS)
+            listed = link.call(
+                ListKeys(view.group, view.epoch, member.disk_id), REPLY_TIMEOUT_SECONDS
+            )
             if not isinstance(listed, KeysReply) or listed.status is not ReplyStatus.OK:
                 return None
             if not listed.is_reader:
@@ -100,17 +108,17 @@
             for start in range(0, len(missing), PAGE_RECORDS):
                 keys = missing[start : start + PAGE_RECORDS]
                 request = FetchRecords(view.group, view.epoch, member.disk_id, keys)
-                fetched = link.call(request, ANSWER_SECONDS)
+                fetched = link.call(request, REPLY_TIMEOUT_SECONDS)
                 if not isinstance(fetched, RecordsReply) or fetched.status is not ReplyStatus.OK:
                     return None
-                if not self._keep(fetched):
+                if not self._persist(fetched):
                     return None
         except LinkDownError:
             return None
         return len(missing)
 
-    def _keep(self, fetched: RecordsReply) -> bool:
-        """Write copied records to disk; return whether it took them."""
+    def _persist(self, fetched: RecordsReply) -> bool:
+        """Write copied records to disk; return whether that succeeded."""
         written = eventlet.event.Event()
         self._disk.persist(
             self._replica.store_copied(fetched.records, self._now()),
--- a/yarrowwall/storage/__init__.py
+++ b/yarrowwall/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Durable storage of a journal replica under its data folder."""
+"""Durable storage of a replica's log in its data folder."""
--- a/yarrowwall/storage/exceptions.py
+++ b/yarrowwall/storage/exceptions.py
@@ -8,7 +8,7 @@
 
 
 class CorruptSegmentError(StorageError):
-    """A record inside a segment fails its checksum; the replica must not start."""
+    """A segment is damaged before its end, or holds an unexpected record."""
 
 
 class FolderNotInitialisedError(StorageError):
--- a/yarrowwall/storage/identity.py
+++ b/yarrowwall/storage/identity.py
@@ -1,4 +1,4 @@
-"""The replica id, made with the data folder."""
+"""The replica id, which is stored in the data folder."""
 
 import os
 from pathlib import Path
@@ -11,9 +11,9 @@
 
 
 def initialise(folder: Path, replica_id: str | None = None) -> str:
-    """Give a data folder its replica id; an id it has stays.
+    """Return a data folder's replica id; create the folder and the id if they are missing.
 
-    :param replica_id: the id for a fresh folder; a random one if None.
+    :param replica_id: the id for a new folder; a random one if None.
     :raises StorageError: if the folder cannot be written.
     """
     try:
@@ -30,7 +30,7 @@
 
 
 def _write_durably(folder: Path, text: str) -> None:
-    """Write the id so that a loss of power leaves all of it or nothing."""
+    """Write the id atomically, so that a power failure leaves all of it or nothing."""
     temporary = folder / (_FILE_NAME + ".temporary")
     with temporary.open("w") as file:
         file.write(text)
@@ -43,7 +43,7 @@
 def read(folder: Path) -> str:
     """Return a data folder's replica id.
 
-    :raises FolderNotInitialisedError: if it has none.
+    :raises FolderNotInitialisedError: if the folder has none.
     """
     try:
         return (folder / _FILE_NAME).read_text().strip()
@@ -52,6 +52,6 @@
 
 
 def discard(folder: Path) -> None:
-    """Forget a data folder's replica id, so that it gets a new one."""
+    """Remove a data folder's replica id, so that it gets a new one."""
     (folder / _FILE_NAME).unlink(missing_ok=True)
     sync_folder(folder)
--- a/yarrowwall/storage/journal_writer.py
+++ b/yarrowwall/storage/journal_writer.py
@@ -1,4 +1,4 @@
-"""Group commit: one fsync for all records that came during the previous one."""
+"""Group commit: one fsync for all records that were queued during the previous one."""
 
 from __future__ import annotations
 
@@ -15,28 +15,28 @@
 if TYPE_CHECKING:
     from yarrowwall.messages.records import Record
 
-#: Bytes-free bound of one commit; more records wait for the next.
-MOST_RECORDS_PER_COMMIT = 512
+#: Most records of one commit, whatever their size; more records wait for the next.
+MAX_RECORDS_PER_COMMIT = 512
 
 
 @dataclass(frozen=True)
-class _Waiting:
+class _QueuedRecord:
     record: Record
-    durable: Callable[[], None]
-    refused: Callable[[], None]
+    on_durable: Callable[[], None]
+    on_failed: Callable[[], None]
 
 
 class JournalWriter:
     """Writes records in the background and calls back once they are durable.
 
-    :param failed: called with the error if the disk refuses; returns whether to go
-        on with later records. Those of the refused commit are reported by ``refused``.
+    :param on_error: called with the error if a commit fails; returns whether to continue with
+        later records. If so, ``on_failed`` is called for each record of the failed commit.
     """
 
-    def __init__(self, store: SegmentStore, failed: Callable[[Exception], bool]) -> None:
+    def __init__(self, store: SegmentStore, on_error: Callable[[Exception], bool]) -> None:
         self._store = store
-        self._failed = failed
-        self._waiting: list[_Waiting] = []
+        self._on_error = on_error
+        self._queue: list[_QueuedRecord] = []
         self._snapshot: Callable[[], Sequence[Record]] | None = None
         self._wakeup = Event()
         self._worker = eventlet.spawn(self._run)
@@ -44,16 +44,16 @@
     def write(
         self,
         record: Record,
-        durable: Callable[[], None],
-        refused: Callable[[], None] = lambda: None,
+        on_durable: Callable[[], None],
+        on_failed: Callable[[], None] = lambda: None,
     ) -> None:
-        """Queue a record; ``durable`` is called after its fsync, or else ``refused``."""
-        self._waiting.append(_Waiting(record, durable, refused))
+        """Queue a record; ``on_durable`` is called after its fsync, or else ``on_failed``."""
+        self._queue.append(_QueuedRecord(record, on_durable, on_failed))
         if not self._wakeup.ready():
             self._wakeup.send()
 
     def compact(self, snapshot: Callable[[], Sequence[Record]]) -> None:
-        """Replace the whole log, between two commits, by what ``snapshot`` returns."""
+        """Replace the whole log, between two commits, by the records of ``snapshot``."""
         self._snapshot = snapshot
         if not self._wakeup.ready():
             self._wakeup.send()
@@ -61,27 +61,27 @@
     def _compact(self, snapshot: Callable[[], Sequence[Record]]) -> None:
         try:
             tpool.execute(self._store.compact, snapshot())
-        except Exception as error:  # the node decides; the old log is still whole
-            self._failed(error)
+        except Exception as error:  # the owner decides; the old log is intact
+            self._on_error(error)
 
     def _run(self) -> None:
         while True:
             if self._snapshot is not None:
                 snapshot, self._snapshot = self._snapshot, None
                 self._compact(snapshot)
-            if not self._waiting:
+            if not self._queue:
                 self._wakeup.wait()
                 self._wakeup = Event()
                 continue
-            batch = self._waiting[:MOST_RECORDS_PER_COMMIT]
-            del self._waiting[:MOST_RECORDS_PER_COMMIT]
+            batch = self._queue[:MAX_RECORDS_PER_COMMIT]
+            del self._queue[:MAX_RECORDS_PER_COMMIT]
             try:
-                tpool.execute(self._store.append, [waiting.record for waiting in batch])
-            except Exception as error:  # the node decides; nothing may be acknowledged
-                if not self._failed(error):
+                tpool.execute(self._store.append, [queued.record for queued in batch])
+            except Exception as error:  # the owner decides; nothing may be acknowledged
+                if not self._on_error(error):
                     return
-                for waiting in batch:
-                    waiting.refused()
+                for queued in batch:
+                    queued.on_failed()
                 continue
-            for waiting in batch:
-                waiting.durable()
+            for queued in batch:
+                queued.on_durable()
--- a/yarrowwall/storage/segments.py
+++ b/yarrowwall/storage/segments.py
@@ -1,9 +1,9 @@
 """Append-only segment files with checksums and group commit.
 
-One commit is one frame: a header (length and checksum) and the encoded messages,
-each with its length. A loss of power may leave the last frame torn in any way; it
-was never acknowledged and is cut. A damaged frame with an intact one behind it means
-that acknowledged records are lost, which stops the replica.
+One commit is one frame: a header (length and checksum) and the encoded messages, each with its
+length. A power failure may leave the last frame torn in any way; it was never acknowledged and is
+truncated. A damaged frame followed by an intact one means that acknowledged records are lost,
+which is an error.
 """
 
 from __future__ import annotations
@@ -21,10 +21,10 @@
 from yarrowwall.storage.folders import sync_folder
 
 if TYPE_CHECKING:
-    # The records of both kinds of replicas; a process loads those that it keeps.
+    # The record types of both kinds of replicas; a process imports only those that it stores.
     from yarrowwall.messages.records import Record
 
-#: A new segment is begun past this size.
+#: Size above which a new segment is begun.
 SEGMENT_BYTES = 64 * 1024 * 1024
 
 _HEADER = struct.Struct(">IQ")
@@ -33,14 +33,14 @@
 _TEMPORARY_SUFFIX = ".temporary"
 
 
-def _frame(records: Iterable[Record]) -> bytes:
+def _encode_frame(records: Iterable[Record]) -> bytes:
     """Return the frame of one commit."""
     encoded = [encode(record) for record in records]
     body = b"".join(_RECORD_LENGTH.pack(len(record)) + record for record in encoded)
     return _HEADER.pack(len(body), xxhash.xxh3_64_intdigest(body)) + body
 
 
-def _records(body: bytes) -> Iterator[Record]:
+def _decode_frame(body: bytes) -> Iterator[Record]:
     """Return the records of a frame's body."""
     offset = 0
     while offset < len(body):
@@ -51,10 +51,11 @@
 
 
 class SegmentStore:
-    """The records of one replica, in the order they were written.
+    """The records of one replica, in the order in which they were written.
 
-    :param folder: the data folder; made if it is missing.
-    :raises StorageError: if the folder cannot be used.
+    :param folder: the folder of the segments; created if it is missing.
+    :param segment_bytes: size above which a new segment is begun.
+    :raises StorageError: if the folder cannot be created.
     """
 
     def __init__(self, folder: Path, segment_bytes: int = SEGMENT_BYTES) -> None:
@@ -79,7 +80,7 @@
         return self._folder / f"{number:012d}{_SUFFIX}"
 
     def read(self) -> Iterator[Record]:
-        """Return all records, oldest first; cut a torn end.
+        """Yield all records, oldest first, and truncate a torn frame at the end of a segment.
 
         :raises CorruptSegmentError: if a frame before an intact one is damaged.
         """
@@ -96,12 +97,12 @@
                     raise CorruptSegmentError(f"{path.name}: damaged record at byte {offset}")
                 os.truncate(path, offset)
                 return
-            yield from _records(body)
+            yield from _decode_frame(body)
             offset += _HEADER.size + len(body)
 
     @staticmethod
     def _body_at(data: bytes, offset: int) -> bytes | None:
-        """Return the record body at an offset; None if it is torn or damaged."""
+        """Return the body of the frame at an offset; None if it is torn or damaged."""
         start = offset + _HEADER.size
         if start > len(data):
             return None
@@ -120,28 +121,28 @@
         return length == 0 or following >= len(data) or not cls._body_at(data, following)
 
     def append(self, records: Iterable[Record]) -> None:
-        """Write records and make them durable with one fsync.
+        """Write records as one frame and make them durable with one fsync.
 
-        :raises StorageError: if the disk refuses; nothing of it counts then.
+        :raises StorageError: if the write fails; none of the records count then.
         """
         try:
             file = self._open_file()
             self._durable_bytes = file.tell()
-            file.write(_frame(records))
+            file.write(_encode_frame(records))
             file.flush()
             os.fsync(file.fileno())
             if file.tell() >= self._segment_bytes:
                 self._close_file()
                 self._number += 1
         except OSError as error:
-            self._take_back()
+            self._discard_failed_write()
             raise StorageError(f"cannot write the journal: {error}") from error
 
-    def _take_back(self) -> None:
-        """Cut what a refused write left, so that later frames follow an intact one.
+    def _discard_failed_write(self) -> None:
+        """Truncate the rest of a failed write, so that later frames follow an intact one.
 
-        If the disk refuses that too, a new segment is begun; reading takes the damaged
-        end of an earlier segment for torn as well, since nothing follows it there.
+        If that fails too, a new segment is begun. Reading treats the damaged end of the earlier
+        segment as a torn frame, since no frame follows it there.
         """
         path = self._path(self._number)
         try:
@@ -168,16 +169,16 @@
             self._file = None
 
     def segment_count(self) -> int:
-        """Return how many segment files there are."""
+        """Return the number of segment files."""
         return len(self._paths())
 
     def compact(self, records: Iterable[Record]) -> None:
         """Replace all segments by one that holds ``records``.
 
-        The new segment is durable before the old ones go; a crash in between
-        leaves both, and reading both gives the same state.
+        The new segment is durable before the old ones are deleted. A crash in between leaves
+        both, and reading both gives the same state.
 
-        :raises StorageError: if the disk refuses; the old segments stay then.
+        :raises StorageError: if the disk fails; the old segments stay then.
         """
         old = self._paths()
         self._close_file()
@@ -187,7 +188,7 @@
         try:
             with temporary.open("wb") as file:
                 for record in records:
-                    file.write(_frame([record]))
+                    file.write(_encode_frame([record]))
                 file.flush()
                 os.fsync(file.fileno())
             temporary.rename(target)
