--- a/features/support/zone_mutants.py
+++ b/features/support/zone_mutants.py
@@ -6,21 +6,21 @@
 from unittest.mock import patch
 
 from yarrowwall.budgets import budget_requests, reservations
-from yarrowwall.budgets.budget_requests import Reserved
-from yarrowwall.budgets.held_tokens import HeldTokens
+from yarrowwall.budgets.budget_requests import Reservation
 from yarrowwall.budgets.ledger import LedgerGrant, ReplicatedLedger
 from yarrowwall.budgets.reservations import Reservations
+from yarrowwall.budgets.turn_reservations import TurnReservations
 from yarrowwall.budgets.turn_store import TurnStore, _Found
 from yarrowwall.messages.replicated import StoredRecord
 from yarrowwall.policy import budget_parts
-from yarrowwall.policy.budget_parts import ClaimState, PartReading, Parts, Verdict
+from yarrowwall.policy.budget_parts import BudgetParts, ClaimState, PartReading, Verdict
 from yarrowwall.replication import quorum_client
 from yarrowwall.replication.exceptions import NoQuorumError
 from yarrowwall.replication.operations import Quorum
 from yarrowwall.replication.views import is_zone_group
 
-_divide = budget_parts.divide
-_judge = budget_parts.judge
+_divide = budget_parts.divide_budget
+_judge = budget_parts.decide_grant
 _record = Reservations._record
 _look_everywhere = TurnStore._look_everywhere
 _WRITE_QUORUM = quorum_client.WRITE_QUORUM
@@ -30,13 +30,13 @@
     return {group: 0 if is_zone_group(group) else held for group, held in pieces.items()}
 
 
-def _whole_rest_to_each(budget: int, zones: int) -> Parts:
+def _whole_rest_to_each(budget: int, zones: int) -> BudgetParts:
     parts = _divide(budget, zones)
-    return Parts(parts.common, budget - parts.common)
+    return BudgetParts(parts.common, budget - parts.common)
 
 
-def _common_grants_all(budget: int, zones: int) -> Parts:
-    return Parts(budget, _divide(budget, zones).of_zone)
+def _common_grants_all(budget: int, zones: int) -> BudgetParts:
+    return BudgetParts(budget, _divide(budget, zones).per_zone)
 
 
 def _overlooks_running(self: PartReading) -> int:
@@ -76,10 +76,10 @@
 
 
 def _more_without_a_claim(
-    self: ReplicatedLedger, held: HeldTokens, budget: int, needed: int, end: Any
+    self: ReplicatedLedger, held: TurnReservations, budget: int, needed: int, end: Any
 ) -> None:
     claim = held.next_claim(held.lacked)
-    held.add(Reserved(claim, {claim.common: claim.tokens}, claim.tokens, "", False))
+    held.add(Reservation(claim, {claim.common: claim.tokens}, claim.tokens, "", False))
 
 
 def _kept_in_memory(self: TurnStore, keeping: Any, own: int, wait_s: float) -> None:
@@ -94,13 +94,13 @@
 
 MUTANTS: dict[str, Callable[[], AbstractContextManager[Any]]] = {
     "hands a piece back that was spent": lambda: patch.object(
-        reservations, "spread", _hands_all_back
+        reservations, "allocate_spent", _hands_all_back
     ),
     "gives what zones share to each of them": lambda: patch.object(
-        reservations, "divide", _whole_rest_to_each
+        reservations, "divide_budget", _whole_rest_to_each
     ),
     "lets the common group grant what zones hold": lambda: patch.object(
-        reservations, "divide", _common_grants_all
+        reservations, "divide_budget", _common_grants_all
     ),
     "grants a piece twice while its turn runs": lambda: patch.object(
         PartReading, "free", property(_overlooks_running)
@@ -109,13 +109,13 @@
         Reservations, "_record", _lowers_too_far
     ),
     "passes on more than was granted": lambda: patch.object(
-        LedgerGrant, "cover", lambda self, passed: None
+        LedgerGrant, "ensure_granted", lambda self, passed: None
     ),
     "goes on beyond a short grant without a claim": lambda: patch.object(
         ReplicatedLedger, "reserve_more", _more_without_a_claim
     ),
     "says 402 although a zone was not asked": lambda: patch.object(
-        reservations, "judge", _everyone_was_asked
+        reservations, "decide_grant", _everyone_was_asked
     ),
     "says 404 without asking the zones": lambda: patch.object(
         TurnStore, "_look_everywhere", _common_alone
@@ -127,7 +127,7 @@
         TurnStore, "_keep_in_zone", _kept_in_memory
     ),
     "leaves no trace of turns that a zone served": lambda: patch.object(
-        budget_requests.GroupHeld, "is_blank", property(lambda self: self.tokens == 0)
+        budget_requests.GroupState, "is_blank", property(lambda self: self.tokens == 0)
     ),
     "takes one disk of the zone for enough": lambda: patch.object(
         quorum_client,
--- a/yarrowwall/budgets/budget_requests.py
+++ b/yarrowwall/budgets/budget_requests.py
@@ -5,13 +5,13 @@
 
 from yarrowwall.model import ProgramContext
 from yarrowwall.policy.budget_parts import (
+    BudgetParts,
     ClaimState,
     PartReading,
-    Parts,
+    further_claim_key,
     is_exhausted,
-    is_spent,
-    more_key,
-    pieces_of,
+    is_permanently_exhausted,
+    pieces_to_take,
 )
 from yarrowwall.replication.rounds import Amount
 
@@ -24,7 +24,7 @@
 _SPENT_PREFIX = "budget-spent/"
 
 
-class Wanted(NamedTuple):
+class TokenClaim(NamedTuple):
     """Tokens that a turn wants.
 
     :param program_id: the program, as one of its tenant's.
@@ -44,27 +44,29 @@
     given_up: frozenset[str] = frozenset()
 
 
-def wanted_by(
+def claim_for(
     program_id: str, program: ProgramContext, attempt_id: str, retention: float, common: int
-) -> Wanted:
+) -> TokenClaim:
     """Return what a turn of a program wants."""
     key = f"{_BUDGET_PREFIX}{program_id}/{attempt_id}"
-    return Wanted(
-        program_id, program.program_id, attempt_id, key, program.most_tokens, retention, common
+    return TokenClaim(
+        program_id, program.program_id, attempt_id, key, program.max_tokens, retention, common
     )
 
 
-def further_claim(wanted: Wanted, tokens: int, number: int, given_up: Iterable[str]) -> Wanted:
+def further_claim(
+    wanted: TokenClaim, tokens: int, number: int, given_up: Iterable[str]
+) -> TokenClaim:
     """Return what a turn wants beside its first claim, as another turn would.
 
     :param number: of the claim: those that were given up are settled, so each has a key of its own.
     :param given_up: keys of those.
     """
-    key = more_key(wanted.key, number)
+    key = further_claim_key(wanted.key, number)
     return wanted._replace(key=key, tokens=tokens, given_up=frozenset(given_up))
 
 
-class Reserved(NamedTuple):
+class Reservation(NamedTuple):
     """A granted reservation, and what it tells of its program.
 
     :param pieces: tokens granted by each group.
@@ -73,7 +75,7 @@
     :param is_first: whether the program surely emitted nothing, and nothing of it is under way.
     """
 
-    wanted: Wanted
+    wanted: TokenClaim
     pieces: dict[int, int]
     granted: int
     last_server: str
@@ -85,7 +87,7 @@
         return self.granted < self.wanted.tokens
 
 
-class GroupHeld(NamedTuple):
+class GroupState(NamedTuple):
     """What a group told of a program beside one reservation.
 
     :param amounts: by key, all that was met so far.
@@ -107,9 +109,9 @@
         return self.tokens == 0 and not any(key.startswith(TRACE_PREFIX) for key in self.amounts)
 
 
-def group_held(amounts: dict[str, Amount], note: str) -> GroupHeld:
+def group_state(amounts: dict[str, Amount], note: str) -> GroupState:
     """Return what a group told, given the other reservations that it holds."""
-    return GroupHeld(amounts, note, sum([amount.tokens for amount in amounts.values()]))
+    return GroupState(amounts, note, sum([amount.tokens for amount in amounts.values()]))
 
 
 class BudgetRequest:
@@ -119,12 +121,12 @@
     :param zones: how many zones' groups may be asked beside the common one.
     """
 
-    def __init__(self, wanted: Wanted, parts: Parts, zones: int) -> None:
+    def __init__(self, wanted: TokenClaim, parts: BudgetParts, zones: int) -> None:
         self.wanted = wanted
         self.common = wanted.common
         self._zones = zones
         self._parts = parts
-        self.held: dict[int, GroupHeld] = {}
+        self.held: dict[int, GroupState] = {}
         #: What the turn may take of each part that was asked.
         self.pieces: dict[int, int] = {}
         self.asked: dict[int, int] = {}
@@ -144,7 +146,7 @@
         """Return the tokens of the parts of which nothing is known."""
         is_common_read = self.common in self.held
         zones_unread = self._zones - (len(self.held) - is_common_read)
-        return zones_unread * self._parts.of_zone + (0 if is_common_read else self._parts.common)
+        return zones_unread * self._parts.per_zone + (0 if is_common_read else self._parts.common)
 
     @property
     def is_exhausted(self) -> bool:
@@ -160,9 +162,9 @@
 
         None if some of them may fit, or if the common group has it.
         """
-        if not self._parts.of_zone or self._is_marked_spent:
+        if not self._parts.per_zone or self._is_marked_spent:
             return None
-        if not is_spent(self.readings, self.wanted.tokens, self.unread):
+        if not is_permanently_exhausted(self.readings, self.wanted.tokens, self.unread):
             return None
         return f"{self._mark_prefix}{self.wanted.tokens}"
 
@@ -177,15 +179,15 @@
     def _mark_prefix(self) -> str:
         return f"{_SPENT_PREFIX}{self.wanted.program_id}/"
 
-    def take(self, group: int, held: GroupHeld) -> None:
+    def take(self, group: int, held: GroupState) -> None:
         """Take in what a group told."""
         self.held[group] = held
-        self.pieces = pieces_of(self.readings, self.wanted.tokens)
+        self.pieces = pieces_to_take(self.readings, self.wanted.tokens)
 
     def drop(self, group: int) -> None:
         """Take nothing of a group that tells no more."""
         del self.held[group]
-        self.pieces = pieces_of(self.readings, self.wanted.tokens)
+        self.pieces = pieces_to_take(self.readings, self.wanted.tokens)
 
     @property
     def missing(self) -> int:
@@ -209,4 +211,4 @@
         return self.common in self.held and is_blank
 
     def _size(self, group: int) -> int:
-        return self._parts.common if group == self.common else self._parts.of_zone
+        return self._parts.common if group == self.common else self._parts.per_zone
--- a/yarrowwall/replication/paths.py
+++ b/yarrowwall/replication/paths.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable, Collection, Sequence
 
-from yarrowwall.backoff import doubled_s
+from yarrowwall.backoff import exponential_backoff_s
 from yarrowwall.messages.relaying import Neighbour
 
 #: Seconds without an answer after which a replica counts as unreachable. An answer takes 5 ms
@@ -233,7 +233,9 @@
         """Note that a neighbour did not answer, or cannot reach replicas itself."""
         failures = self._failures.get(node_id, 0)
         self._failures[node_id] = failures + 1
-        pause_s = doubled_s(NEIGHBOUR_PAUSE_SECONDS, MAX_NEIGHBOUR_PAUSE_SECONDS, failures)
+        pause_s = exponential_backoff_s(
+            NEIGHBOUR_PAUSE_SECONDS, MAX_NEIGHBOUR_PAUSE_SECONDS, failures
+        )
         self._skipped_until[node_id] = now_s + pause_s
 
     def has_working_neighbour(self, now_s: float) -> bool:
--- a/yarrowwall/replication/peers.py
+++ b/yarrowwall/replication/peers.py
@@ -105,7 +105,7 @@
     def alive(self) -> set[str]:
         """Return the node ids of the machines that answered recently, including this one."""
         since = self._now() - DOWN_SECONDS
-        answered = {node for node, heard_at in self._answered_at.items() if heard_at >= since}
+        answered = {node for node, answered_at in self._answered_at.items() if answered_at >= since}
         return answered | {self._node_id}
 
     def confirmations(self) -> Mapping[str, ViewConfirmation]:
--- a/yarrowwall/replication/rpc.py
+++ b/yarrowwall/replication/rpc.py
@@ -20,7 +20,7 @@
 from yarrowwall.messages.codec import decode, encode
 from yarrowwall.messages.exceptions import MalformedMessageError, UnknownMessageError
 from yarrowwall.replication.exceptions import FrameError, LinkDownError
-from yarrowwall.sockets import Receiver, open_socket, set_silence_limits
+from yarrowwall.sockets import Receiver, open_socket, set_tcp_options
 
 #: Size limit of a received frame; a longer one closes the connection.
 MAX_FRAME_BYTES = 64 * 1024 * 1024
@@ -344,7 +344,7 @@
             connection, (host, port) = listener.accept()
         except OSError:
             return
-        set_silence_limits(connection)
+        set_tcp_options(connection)
         _serve_connection(connection, f"{host}:{port}", handle, log)
 
 
