--- a/features/journal.feature
+++ b/features/journal.feature
@@ -1,7 +1,7 @@
 Feature: A program's log survives its owners
-  Several owners may take themselves for the owner at once; messages are lost,
-  late, repeated and reordered. What was chosen stays, and no log mixes entries
-  that were appended to different logs.
+  Several nodes may act as the owner at once; messages are lost, late, repeated
+  and reordered. Chosen entries stay chosen, and no log mixes entries that were
+  appended to different logs.
 
   Scenario: Random schedules of owners and replicas
     Then 1500 random journal schedules keep every chosen entry
@@ -33,7 +33,7 @@
     When replica "a" is restored from its records
     Then it promises its two entries to the next owner
 
-  Scenario: A torn record at the end is cut, a damaged one inside stops the replica
+  Scenario: A torn record at the end is truncated, a damaged one inside stops the replica
     Given a data folder with 5 durable records
     When the last record is torn
     Then 4 records are read
@@ -47,28 +47,28 @@
 
   Scenario: A complete program's log is dropped after its retention
     Given a replica with a complete program that ended at 100 seconds
-    When the replica looks after its logs at 3600 seconds
+    When the replica expires its logs at 3600 seconds
     Then it still has the program's log
-    When the replica looks after its logs at 3701 seconds
+    When the replica expires its logs at 3701 seconds
     Then it has dropped the program's log
 
-  Scenario: A replica is done with a shard map's change only when its logs are copied
+  Scenario: A replica completes a shard map's change only when its logs are copied
     Given a replica that had the log of a program when the shard map changed
     Then it does not say that its logs are copied
     When the program's owner says that the log is copied
     Then it says that its logs are copied, once the map is on its disk
 
-  Scenario: Without waiting for the copies the replica would be done at once
+  Scenario: Without waiting for the copies the replica would complete the change at once
     Given the mutant "a shard map is finished before the logs are copied"
     And a replica that had the log of a program when the shard map changed
     Then it says that its logs are copied, once the map is on its disk
 
-  Scenario: Frequent requests do not put a retransmission off
-    Given an owner that prepares its ballot and hears from nobody
+  Scenario: Frequent requests do not delay a retransmission
+    Given an owner that prepares its ballot and gets no answers
     When it is asked for a copy every 0.2 seconds for 2 seconds
     Then it has sent its prepare requests again
 
-  Scenario: An ended child tells its parent what it spent only once its end is chosen
+  Scenario: An ended child reports its spending to its parent only once its end is chosen
     Given a child program whose owner leads
     When it is ended and no replica has answered yet
     Then its parent has not been asked to settle
--- a/features/platform.feature
+++ b/features/platform.feature
@@ -169,7 +169,7 @@
     Given a stateful stream route "chat" whose server sends 2 events
     And a further replica
     When a conversation has two turns at gateway 0
-    And storage machine 1 is to be emptied
+    And storage machine 1 is being retired
     Then its retirement is complete within 10 s and it is in no group
     When replica 1 is killed for good
     And its third turn comes at gateway 1
--- a/features/record_store.feature
+++ b/features/record_store.feature
@@ -1,4 +1,4 @@
-Feature: Records survive replicas, and budgets hold without a leader
+Feature: Records survive the loss of replicas, and budgets hold without a leader
   Gateways write and read through quorums while messages are lost, late and reordered,
   replicas lose power or their disks, and the group changes.
 
@@ -8,7 +8,7 @@
   Scenario: Requests that arrive twice, directly and through a neighbour, however late
     Then 600 random record schedules with doubled requests keep them as well
 
-  Scenario: Retirements in series, beside lost disks
+  Scenario: Consecutive retirements together with lost disks
     Then 400 random record schedules with retirements keep them as well
 
   Scenario Outline: The schedules with retirements catch a record store that "<mutant>"
@@ -17,7 +17,7 @@
 
     Examples:
       | mutant                                            |
-      | empties a machine whatever copies are left        |
+      | retires a machine however few copies remain        |
       | removes a machine before its copies are elsewhere |
 
   Scenario Outline: The schedules catch a record store that "<mutant>"
@@ -36,7 +36,7 @@
     Given a group of "a1", "b1" and "c1" whose third replica is replaced by "d1"
     When a write that began before the change reaches "c1" and "b1"
     Then it is not complete
-    And the newer view is told to its sender
+    And its sender gets the newer view
 
   Scenario: Taking requests of any epoch would complete such a write
     Given the record store's mutant "takes requests of any epoch"
@@ -44,34 +44,34 @@
     When a write that began before the change reaches "c1" and "b1"
     Then it is complete but a read quorum of the new group does not know it
 
-  Scenario: A disk that refuses a write acknowledges nothing, and its copy is written again
-    Given a replica whose disk refuses writes for a while
-    When a record is written, refused by the disk, and written again
+  Scenario: A failed write is not acknowledged, and the record is written when it is sent again
+    Given a replica whose disk fails for a while
+    When a record is written, its write fails, and it is written again
     Then the second write puts the record on disk
 
-  Scenario: What a loss of power leaves of the last commit is cut
+  Scenario: A commit that a power failure left incomplete is truncated
     Given a record log of 3 commits of several records
     When the last commit is torn in its middle
     Then the records of 2 commits are read
     And a commit after that is read as well
 
-  Scenario: A group of three replaces a silent member only by one that is there
-    Given a group of "a1", "b1" and "c1" with "d1" registered besides
+  Scenario: A group of three replaces a silent member only by a machine that answers
+    Given a group of "a1", "b1" and "c1" with "d1" registered in addition
     Then with "c" silent the group becomes "a1,b1,d1"
     And with "c" and "d" silent the group stays
     And with "b" and "c" silent the group stays
-    And with "c" to be emptied the group becomes "a1,b1,d1"
+    And with "c" being retired the group becomes "a1,b1,d1"
     And with "c" on a new disk the group becomes "a1,b1,c2"
 
   # Guards against changes that never end: a replica that another group had released at a later epoch
-  # passed over the view that took it in, and the group was left with fewer copies.
-  Scenario Outline: A replica that its group has released joins another one at epoch <epoch>
+  # ignored the view that added it, and the group was left with fewer copies.
+  Scenario Outline: A replica that its group released joins another group at epoch <epoch>
     Given a replica that had copied in group 1 and was released by it at epoch 5
-    When group 3 takes it in at epoch <epoch>
+    When group 3 adds it at epoch <epoch>
     Then it has to copy before the change of group 3 ends
-    And a start from its log and one from its snapshot find the same
+    And restoring its log and restoring its snapshot give the same state
     When it has copied and group 3's change is over
-    Then it is a reader of group 3
+    Then it counts for reads in group 3
 
     Examples:
       | epoch |
@@ -81,19 +81,19 @@
       | 6     |
       | 8     |
 
-  Scenario: A copy that ends after its replica has gone to another group counts in neither
+  Scenario: A copy that ends after its replica has joined another group counts in neither
     Given a replica that had copied in group 1 and was released by it at epoch 5
-    When group 3 takes it in while the mark of a copy in group 1 is under way
+    When group 3 adds it while the mark of a copy in group 1 is being written
     Then it has to copy before the change of group 3 ends
 
-  Scenario: A member passes over earlier views of other groups
+  Scenario: A member ignores earlier views of other groups
     Given a replica that had copied in group 1 and was released by it at epoch 5
-    When group 3 takes it in at epoch 4
+    When group 3 adds it at epoch 4
     Then views of group 1 at epochs 2 to 4 change nothing
 
-  Scenario Outline: A retirement leaves a common group the copies that bear a loss
-    Given a group of "<members>" whose wanted size is <size>, with "<free>" registered besides
-    Then with "<retiring>" to be emptied and "<silent>" silent its next members are "<next>"
+  Scenario Outline: A retirement leaves a common group enough copies to survive a loss
+    Given a group of "<members>" whose target size is <size>, with "<free>" registered in addition
+    Then with "<retiring>" being retired and "<silent>" silent its next members are "<next>"
 
     Examples:
       | members  | size | free | retiring | silent | next     |
@@ -107,13 +107,13 @@
       | a1,b1    | 3    |      | b        | b      | a1,b1    |
       | a1,b1,c1 | 3    |      | c        | c      | a1,b1    |
 
-  Scenario: A group of two takes a lost disk back as an empty one
-    Given a group of "a1" and "b1" with nobody registered besides
+  Scenario: A group of two adds the empty disk that replaces a lost one
+    Given a group of "a1" and "b1" with no machine registered in addition
     Then with "a" on a new disk the group becomes "a2,b1"
     And the group of two stays with "b" silent
 
-  Scenario: A replica that is back is reached although requests never cease
-    Given a link to a port where nobody listens yet
+  Scenario: A recovered replica is reached although requests are continuous
+    Given a link to a port without a listener
     When requests go over the link every 0.02 s for 0.6 s
     And a replica begins to listen there
     Then a request over the link is answered within 0.5 s
--- a/features/steps/group_move_steps.py
+++ b/features/steps/group_move_steps.py
@@ -1,4 +1,4 @@
-"""Steps about a replica that goes from one group to another."""
+"""Steps about a replica that moves from one group to another."""
 
 from behave import given, then, when
 from behave.runner import Context
@@ -13,27 +13,27 @@
 NEW_GROUP = 3
 
 
-def take(replica: RecordReplica, view: GroupView) -> None:
-    """Let a replica take a view and write it to its disk."""
+def apply_view(replica: RecordReplica, view: GroupView) -> None:
+    """Install a view in a replica and write it to its disk."""
     for record in replica.install_view(view):
         replica.mark_durable(record)
 
 
 def copy(replica: RecordReplica, view: GroupView) -> None:
-    """Let a replica finish its copy in a view."""
+    """Finish a replica's copy in a view."""
     mark = replica.synchronisation_mark(view)
     assert mark is not None
     replica.mark_durable(mark)
 
 
 def joint_view(group: int, epoch: int) -> GroupView:
-    """Return the view in which a group takes the replica in."""
+    """Return the joint view in which a group adds the replica."""
     old = [member(disk) for disk in OTHERS]
     return GroupView(group, epoch, old, [*old[:2], member(OWN)])
 
 
 def views_of_first_group() -> list[GroupView]:
-    """Return the views of the group that takes the replica in and releases it."""
+    """Return the views of the group that adds the replica and releases it again."""
     joint = joint_view(1, 2)
     with_own, without = joint.joining, joint.members
     return [
@@ -62,15 +62,15 @@
         context.replica.mark_durable(record)
 
 
-@when("group 3 takes it in at epoch {epoch:d}")
-def taken_in(context: Context, epoch: int) -> None:
+@when("group 3 adds it at epoch {epoch:d}")
+def added(context: Context, epoch: int) -> None:
     context.view = joint_view(NEW_GROUP, epoch)
     keep(context, context.replica.install_view(context.view))
     assert context.replica.view == context.view, context.replica.view
 
 
-@when("group 3 takes it in while the mark of a copy in group 1 is under way")
-def taken_in_beside_copy(context: Context) -> None:
+@when("group 3 adds it while the mark of a copy in group 1 is being written")
+def added_during_copy(context: Context) -> None:
     context.view = joint_view(NEW_GROUP, 5)
     coming = context.replica.install_view(context.view)
     assert coming
@@ -79,7 +79,7 @@
 
 
 def change_ends(context: Context) -> bool:
-    """Return whether group 3's change would be ended now."""
+    """Return whether group 3's change could end now."""
     epoch = context.view.epoch
     statuses = {disk: StatusReply(disk[0], disk, epoch, True, epoch) for disk in OTHERS[:2]} | {
         OWN: context.replica.status()
@@ -94,7 +94,7 @@
     assert not change_ends(context)
 
 
-@then("a start from its log and one from its snapshot find the same")
+@then("restoring its log and restoring its snapshot give the same state")
 def restored_alike(context: Context) -> None:
     for log in (context.log, context.replica.snapshot()):
         restored = RecordReplica("d", OWN)
@@ -108,16 +108,18 @@
 def change_over(context: Context) -> None:
     copy(context.replica, context.view)
     assert change_ends(context)
-    take(context.replica, GroupView(NEW_GROUP, context.view.epoch + 1, context.view.joining, []))
+    apply_view(
+        context.replica, GroupView(NEW_GROUP, context.view.epoch + 1, context.view.joining, [])
+    )
 
 
-@then("it is a reader of group 3")
-def reader_of_new_group(context: Context) -> None:
+@then("it counts for reads in group 3")
+def counts_in_new_group(context: Context) -> None:
     assert context.replica.view.group == NEW_GROUP and context.replica.counts_for_reads
 
 
 @then("views of group 1 at epochs 2 to 4 change nothing")
-def earlier_views_passed_over(context: Context) -> None:
+def earlier_views_ignored(context: Context) -> None:
     for view in views_of_first_group()[:3]:
         assert context.replica.install_view(view) == [], view
     assert context.replica.view == context.view
--- a/features/steps/group_notice_steps.py
+++ b/features/steps/group_notice_steps.py
@@ -1,4 +1,4 @@
-"""Steps about what a storage machine says of the groups."""
+"""Steps about what a storage machine logs about groups."""
 
 import eventlet
 from behave import given, then, when
@@ -12,18 +12,18 @@
 from yarrowwall.replication.losses import has_lost_all
 from yarrowwall.replication.views import ZONE_GROUPS_FROM
 
-#: Seconds between the answers of machines.
+#: Seconds between two answers of the other machines.
 ANSWER_SECONDS = 0.1
 
 
 def _answer_always(group: CoordinatedGroup) -> None:
     while True:
-        group.peers.hear()
+        group.peers.answer_all()
         eventlet.sleep(ANSWER_SECONDS)
 
 
 @given('a storage machine "a" that looks after a group of "{first}" and "{second}"')
-def looks_after_group(context: Context, first: str, second: str) -> None:
+def coordinated_group(context: Context, first: str, second: str) -> None:
     context.group = CoordinatedGroup([first, second])
     answering = eventlet.spawn(_answer_always, context.group)
     context.add_cleanup(answering.kill)
@@ -36,14 +36,14 @@
     context.group.peers.register(disk_id)
 
 
-@when('"{name}" is to be emptied and the groups are looked at for {seconds:f} s')
-def to_be_emptied(context: Context, name: str, seconds: float) -> None:
+@when('"{name}" is being retired and the groups are checked for {seconds:f} s')
+def retire_for(context: Context, name: str, seconds: float) -> None:
     context.group.coordinator.retiring = {name}
     eventlet.sleep(seconds)
 
 
-@when("the groups are looked at for {seconds:f} s")
-def looked_at(context: Context, seconds: float) -> None:
+@when("the groups are checked for {seconds:f} s")
+def checked_for(context: Context, seconds: float) -> None:
     eventlet.sleep(seconds)
 
 
@@ -54,26 +54,26 @@
             eventlet.sleep(ANSWER_SECONDS)
 
 
-def _waits(context: Context) -> list[str]:
+def _blocked_details(context: Context) -> list[str]:
     return [
         line.detail
-        for line in context.group.noted
+        for line in context.group.logged
         if isinstance(line, decisions.ProcessChanged) and line.change == "retirement waits"
     ]
 
 
 @then("its log says once that group {group:d} would keep {left:d} copies of {needed:d} needed")
-def says_once(context: Context, group: int, left: int, needed: int) -> None:
-    waits = _waits(context)
-    assert len(waits) == 1, waits
-    detail = waits[0]
+def blocked_logged_once(context: Context, group: int, left: int, needed: int) -> None:
+    details = _blocked_details(context)
+    assert len(details) == 1, details
+    detail = details[0]
     assert f"group {group} would keep {left} copies, {needed} are needed" in detail, detail
     assert "one more storage machine" in detail, detail
 
 
-@then("its log says nothing of a retirement that waits")
-def says_nothing(context: Context) -> None:
-    assert not _waits(context), _waits(context)
+@then("its log has no waiting retirement")
+def nothing_logged(context: Context) -> None:
+    assert not _blocked_details(context), _blocked_details(context)
 
 
 # Groups that have lost all copies
@@ -119,23 +119,23 @@
 
 
 def _losses(context: Context) -> list[decisions.GroupLost]:
-    return [line for line in context.group.noted if isinstance(line, decisions.GroupLost)]
+    return [line for line in context.group.logged if isinstance(line, decisions.GroupLost)]
 
 
 @then("its log does not say that a group has lost its records")
-def no_loss_told(context: Context) -> None:
+def no_loss_logged(context: Context) -> None:
     assert not _losses(context), _losses(context)
 
 
 @then('its log says once that group {group:d} of "{nodes}" has lost its records')
-def loss_told_once(context: Context, group: int, nodes: str) -> None:
+def loss_logged_once(context: Context, group: int, nodes: str) -> None:
     assert _losses(context) == [decisions.GroupLost(group, 1, nodes)], _losses(context)
 
 
 @then('the metric "{name}" of group {group:d} is {value:d}')
 def metric_is(context: Context, name: str, group: int, value: int) -> None:
     metrics = MachineMetrics()
-    for line in context.group.noted:
+    for line in context.group.logged:
         metrics.count(line)
     text = metrics.render(0).decode()
     assert f'{name}{{group="{group}"}} {float(value)}' in text, text
--- a/features/steps/journal_steps.py
+++ b/features/steps/journal_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the journal: replicas, owners and the files below them."""
+"""Steps about the journal: replicas, owners and their segment files."""
 
 import tempfile
 from pathlib import Path
@@ -57,7 +57,7 @@
 
 
 def take_over(context: Context, counter: int, names: str) -> ProgramLog:
-    """Let a new owner recover the log from some replicas."""
+    """Return a new owner that has recovered the log from some replicas."""
     schedule: JournalSchedule = context.schedule
     owner = ProgramLog("p", schedule.groups, Ballot(counter, "owner"))
     for name in names:
@@ -176,8 +176,8 @@
     context.service.start(float(at))
 
 
-@when("the replica looks after its logs at {at:d} seconds")
-def look_after_logs(context: Context, at: int) -> None:
+@when("the replica expires its logs at {at:d} seconds")
+def expire_logs(context: Context, at: int) -> None:
     assert context.service.due(float(at)) == []
 
 
@@ -220,7 +220,7 @@
     assert effect.message == ReplicaCopied("disk-a", 2), effect
 
 
-@given("an owner that prepares its ballot and hears from nobody")
+@given("an owner that prepares its ballot and gets no answers")
 def preparing_owner(context: Context) -> None:
     context.outbox = Outbox("a")
     groups = JournalSchedule().groups
--- a/features/steps/message_version_steps.py
+++ b/features/steps/message_version_steps.py
@@ -1,4 +1,4 @@
-"""Steps about messages that an earlier release wrote or reads."""
+"""Steps about messages that are exchanged with an earlier release."""
 
 import dataclasses
 import io
@@ -20,37 +20,37 @@
 
 
 def earlier_schema() -> dict[str, object]:
-    """Return the schema of the question as it was before the last field was added."""
+    """Return the schema of the request as it was before the last field was added."""
     schema = json.loads(schema_path(_CODE).read_text())
     schema["fields"] = [field for field in schema["fields"] if field["name"] != "is_continued"]
     return schema
 
 
 def earlier_fields() -> dict[str, object]:
-    """Return the fields of the question that an earlier release knows."""
+    """Return the fields of the request that an earlier release knows."""
     fields = dataclasses.asdict(_ASK)
     del fields["is_continued"]
     return fields
 
 
 def earlier_body() -> bytes:
-    """Return the question as an earlier release writes it."""
+    """Return the request as an earlier release writes it."""
     buffer = io.BytesIO()
     fastavro.schemaless_writer(buffer, earlier_schema(), earlier_fields())
     return _CODE.to_bytes(_CODE_BYTES, "big") + buffer.getvalue()
 
 
-@given("a question for room as an earlier release writes it")
-def earlier_question(context: Context) -> None:
+@given("an admission request as an earlier release writes it")
+def earlier_request(context: Context) -> None:
     context.data = earlier_body()
 
 
-@given("a question for room about a program that goes on from a turn")
-def question_of_now(context: Context) -> None:
+@given("an admission request of a program that continues a turn")
+def current_request(context: Context) -> None:
     context.data = encode(_ASK)
 
 
-@then("it is read as one about a program that goes on from no turn")
+@then("it is read as one of a program that continues no turn")
 def read_with_defaults(context: Context) -> None:
     assert decode(context.data) == dataclasses.replace(_ASK, is_continued=False)
 
--- a/features/steps/owner_steps.py
+++ b/features/steps/owner_steps.py
@@ -1,4 +1,4 @@
-"""Steps about one program owner, and one node, without a network."""
+"""Steps about a single program owner and a single node, without a network."""
 
 from behave import given, then, when
 from behave.runner import Context
@@ -43,7 +43,7 @@
 
 
 def deliver_journal_messages(context: Context) -> None:
-    """Let the replicas answer everything the owner has sent."""
+    """Deliver the owner's messages to the replicas and their answers back, until none is left."""
     effects = context.outbox.take()
     while effects:
         for effect in effects:
@@ -138,7 +138,7 @@
 @when("the operator has the reply")
 def operator_has_reply(context: Context) -> None:
     answer = PlatformRead(context.read.operation_id, context.read.name, True, None)
-    # Before the node's next look whether it is drained, which is at 1.6.
+    # The node next checks at 1.6 whether it is drained.
     effects = context.node.handle(1.55, answer)
     assert any(isinstance(effect, ReplyToOperator) for effect in effects), effects
     assert not any(isinstance(effect, Drained) for effect in effects), effects
--- a/features/steps/platform_replica_steps.py
+++ b/features/steps/platform_replica_steps.py
@@ -1,4 +1,4 @@
-"""Steps about replicas that are lost, replaced and emptied."""
+"""Steps about replicas that are lost, replaced and retired."""
 
 import shutil
 import time
@@ -65,7 +65,7 @@
     )
 
 
-@when("storage machine {number:d} is to be emptied")
+@when("storage machine {number:d} is being retired")
 def retire_machine(context: Context, number: int) -> None:
     retire(context, f"storage-{number}")
 
@@ -81,7 +81,7 @@
 @then("gateway {number:d} is not ready within {limit:d} s")
 def not_ready_soon(context: Context, number: int, limit: int) -> None:
     started = time.monotonic()
-    wait_until(lambda: not world(context).is_ready(f"edge-{number}"), "it takes itself out")
+    wait_until(lambda: not world(context).is_ready(f"edge-{number}"), "it is not ready")
     assert time.monotonic() - started < limit
 
 
@@ -94,5 +94,5 @@
 @then("gateway {number:d} is ready within {limit:d} s")
 def ready_soon(context: Context, number: int, limit: int) -> None:
     started = time.monotonic()
-    wait_until(lambda: world(context).is_ready(f"edge-{number}"), "it is back")
+    wait_until(lambda: world(context).is_ready(f"edge-{number}"), "it is ready")
     assert time.monotonic() - started < limit
--- a/features/steps/quorum_steps.py
+++ b/features/steps/quorum_steps.py
@@ -1,4 +1,4 @@
-"""Steps about whom an operation of the record store asks."""
+"""Steps about which replicas an operation of the record store asks."""
 
 import time
 from collections.abc import Callable
@@ -23,17 +23,17 @@
 from yarrowwall.replication.quorum_client import QuorumClient
 
 OWN_ZONE = "zone-a"
-#: Its writes are on three disks, or on both where it has two.
+#: A zone group whose writes go to three disks, or to both if it has two.
 ZONE_GROUP = 3000
-#: The clock stands still, so that a busy machine changes no verdict.
+#: The clock is fixed, so that the load of the machine does not affect the results.
 NOW_S = 100.0
 
 
 class ScriptedLink:
-    """A link whose replica takes every write, says nothing, or is out of reach.
+    """A link whose replica answers every request, is silent, or is unreachable.
 
-    :ivar failures_left: requests that its connection still fails.
-    :ivar view: the view that the replica knows; None for the one that it is asked in.
+    :ivar failures_left: number of further requests that fail.
+    :ivar view: the view that the replica knows; None for the view of each request.
     """
 
     def __init__(self) -> None:
@@ -71,7 +71,7 @@
         return RecordsReply(status, True, [], newer)
 
     def forget(self, number: int, is_late: bool = False) -> None:
-        """Nothing waits here."""
+        """Do nothing, since no reply is pending here."""
 
 
 class ScriptedLinks:
@@ -91,7 +91,7 @@
     ]
 
 
-def begin(context: Context, view: GroupView) -> None:
+def set_up(context: Context, view: GroupView) -> None:
     context.links = ScriptedLinks()
     views = GroupViews()
     views.update(view)
@@ -108,12 +108,12 @@
 
 @given("a group of {count:d} replicas, one of them in the own zone")
 def group(context: Context, count: int) -> None:
-    begin(context, GroupView(0, 1, members(0, count), []))
+    set_up(context, GroupView(0, 1, members(0, count), []))
 
 
 @given("a group of {count:d} replicas that is being replaced by {others:d} others")
 def changing_group(context: Context, count: int, others: int) -> None:
-    begin(context, GroupView(0, 2, members(0, count), members(count, others)))
+    set_up(context, GroupView(0, 2, members(0, count), members(count, others)))
 
 
 @given("the replica of the own zone is silent")
@@ -135,7 +135,7 @@
 @when("{count:d} records are written")
 def written(context: Context, count: int) -> None:
     waited: list[bool] = []
-    # Runs as soon as the writes wait for anything.
+    # This greenthread runs only if a write waits for something.
     eventlet.spawn_n(waited.append, True)
     for number in range(count):
         context.client.write(0, [record(number)])
@@ -143,7 +143,7 @@
     context.count = count
 
 
-@when("a record is written within {limit:d} ms, it fails for want of a quorum")
+@when("a record is written within {limit:d} ms, it fails without a quorum")
 def not_written(context: Context, limit: int) -> None:
     began = time.monotonic()
     try:
@@ -188,8 +188,8 @@
     assert len(got & {"a3", "a4", "a5"}) >= 2, got
 
 
-@given("the group has gone on without its last replica, which is silent")
-def gone_on(context: Context) -> None:
+@given("the group has a later view without its last replica, which is silent")
+def later_view(context: Context) -> None:
     last = context.view.members[-1]
     later = GroupView(0, 2, context.view.members[:-1], [])
     for address, link in context.links.by_address.items():
@@ -203,9 +203,9 @@
     context.own.view = GroupView(0, 0, context.view.members, [])
 
 
-@given("a zone group of {count:d} replicas that both have to take a write")
+@given("a zone group of {count:d} replicas that must both store a write")
 def zone_group(context: Context, count: int) -> None:
-    begin(context, GroupView(ZONE_GROUP, 1, members(0, count), []))
+    set_up(context, GroupView(ZONE_GROUP, 1, members(0, count), []))
 
 
 @given("the connection to the replica of the own zone fails twice")
--- a/features/steps/reach_steps.py
+++ b/features/steps/reach_steps.py
@@ -1,4 +1,4 @@
-"""Steps about gateways that are cut off from the replicas and go through a neighbour."""
+"""Steps about gateways that are cut off from the replicas and send requests through a neighbour."""
 
 import http.client
 import time
@@ -42,7 +42,8 @@
 
 @given("the gateways know their neighbours")
 def know_neighbours(context: Context) -> None:
-    # Each asks every 0.4 to 0.6 s until it is told, and the first ones know too few.
+    # Each gateway asks every 0.4 to 0.6 s until it gets an answer, and the first answers list too
+    # few neighbours.
     time.sleep(7.0)
 
 
@@ -74,8 +75,8 @@
     assert ready == [False, True, True], ready
 
 
-def _passed(context: Context) -> dict[str, float]:
-    """Return how many requests each other gateway passed on for the first one."""
+def _forwarded_counts(context: Context) -> dict[str, float]:
+    """Return how many requests of the first gateway each other one has forwarded."""
     found = 'yarrowwall_forwarded_requests_total{gateway="edge-0"} '
     counts = {}
     for name in ("edge-1", "edge-2"):
@@ -85,14 +86,14 @@
     return counts
 
 
-@then("a neighbour passed requests on for gateway 0")
-def passed_on(context: Context) -> None:
-    assert any(_passed(context).values())
+@then("a neighbour forwarded requests of gateway 0")
+def requests_forwarded(context: Context) -> None:
+    assert any(_forwarded_counts(context).values())
 
 
-@when("the neighbour that passed requests on for gateway 0 is killed")
+@when("the neighbour that forwarded requests of gateway 0 is killed")
 def kill_neighbour(context: Context) -> None:
-    passed = _passed(context)
+    passed = _forwarded_counts(context)
     cut_world(context).kill(max(passed, key=lambda name: passed[name]))
 
 
@@ -113,12 +114,12 @@
 
 
 class _Replica:
-    """A replica that answers after a while, and counts."""
+    """A replica that answers after a delay and counts requests."""
 
     def __init__(self, delay_s: float) -> None:
         self.delay_s = delay_s
         self.under_way = 0
-        self.most = 0
+        self.max_under_way = 0
         self.requests = 0
         listener = eventlet.listen(("127.0.0.1", 0))
         self.address = f"127.0.0.1:{listener.getsockname()[1]}"
@@ -127,7 +128,7 @@
     def _handle(self, request: object, reply) -> None:
         self.requests += 1
         self.under_way += 1
-        self.most = max(self.most, self.under_way)
+        self.max_under_way = max(self.max_under_way, self.under_way)
 
         def answer() -> None:
             self.under_way -= 1
@@ -162,9 +163,9 @@
     eventlet.sleep(1.0)
 
 
-@then("no more than {most:d} of them are under way at the replica at any moment")
-def bounded(context: Context, most: int) -> None:
-    assert 0 < context.replica.most <= most, context.replica.most
+@then("no more than {max_under_way:d} of them are in progress at the replica at any moment")
+def bounded(context: Context, max_under_way: int) -> None:
+    assert 0 < context.replica.max_under_way <= max_under_way, context.replica.max_under_way
 
 
 @then("each of the others is refused at once as busy")
@@ -176,22 +177,22 @@
     assert max(late) < 0.3, max(late)
 
 
-@then("nothing is counted as under way at the end")
+@then("no request counts as in flight at the end")
 def nothing_left(context: Context) -> None:
     assert context.forwarder.in_flight == (0, 0), context.forwarder.in_flight
 
 
-@when("a gateway asks it to pass on {what}")
-def pass_on(context: Context, what: str) -> None:
+@when("a gateway asks it to forward {what}")
+def ask_to_forward(context: Context, what: str) -> None:
     status = encode(AskStatus(0))
     address = context.replica.address
     if what == "a request while it is cut off":
-        _lose(context.links.paths, "10.0.0.1:1", 1.0)
+        _note_unanswered(context.links.paths, "10.0.0.1:1", 1.0)
     asked = {
-        "a request that is to be passed on": Forward(
+        "a request to forward a request": Forward(
             "edge-0", address, encode(Forward("edge-0", address, status))
         ),
-        "a request to an address of nobody": Forward("edge-0", "127.0.0.1:9", status),
+        "a request to an unknown address": Forward("edge-0", "127.0.0.1:9", status),
         "a request that cannot be read": Forward("edge-0", address, b"no message"),
         "a request while it is cut off": Forward("edge-0", address, status),
     }[what]
@@ -209,32 +210,32 @@
 # Paths
 
 
-def _lose(paths: Paths, address: str, sent_s: float) -> None:
-    """Lose the answer to a question, as is found once it is late."""
+def _note_unanswered(paths: Paths, address: str, sent_s: float) -> None:
+    """Note that a request was not answered, as found when the answer is late."""
     paths.note_late(address, sent_s, sent_s + LATE_SECONDS)
 
 
-@given("a gateway that asked {heard:d} replicas that answer and {lost:d} that do not")
-def asked_replicas(context: Context, heard: int, lost: int) -> None:
+@given("a gateway that asked {answering:d} replicas that answer and {lost:d} that do not")
+def asked_replicas(context: Context, answering: int, lost: int) -> None:
     context.paths = Paths()
-    for number in range(heard + lost):
+    for number in range(answering + lost):
         context.paths.note_asked(f"replica-{number}", 10.0)
-    for number in range(heard):
+    for number in range(answering):
         context.paths.note_answered(f"replica-{number}", 10.01)
-    for number in range(heard, heard + lost):
-        _lose(context.paths, f"replica-{number}", 10.0)
-    context.lost = f"replica-{heard}"
+    for number in range(answering, answering + lost):
+        _note_unanswered(context.paths, f"replica-{number}", 10.0)
+    context.lost = f"replica-{answering}"
 
 
-@then("it takes the detour: {detour}")
-def takes_detour(context: Context, detour: str) -> None:
-    assert context.paths.uses_neighbour(context.lost) == (detour == "yes")
+@then("its requests go through a neighbour: {forwarded}")
+def goes_through_neighbour(context: Context, forwarded: str) -> None:
+    assert context.paths.uses_neighbour(context.lost) == (forwarded == "yes")
 
 
 @when("{dead:d} of {count:d} replicas refuse connections for {seconds:f} s, and the others answer")
 def some_refuse(context: Context, dead: int, count: int, seconds: float) -> None:
     context.paths = Paths()
-    context.cuts = []
+    context.cut_states = []
     for turn_number in range(int(seconds / 0.01)):
         now_s = 10.0 + 0.01 * turn_number
         name = f"replica-{turn_number % count}"
@@ -242,12 +243,12 @@
             context.paths.note_late(name, now_s, now_s)
         else:
             context.paths.note_answered(name, now_s)
-        context.cuts.append(context.paths.is_cut_off)
+        context.cut_states.append(context.paths.is_cut_off)
 
 
-@then("it is never held to be cut off")
-def never_cut(context: Context) -> None:
-    assert not any(context.cuts), context.cuts.count(True)
+@then("it never counts as cut off")
+def never_cut_off(context: Context) -> None:
+    assert not any(context.cut_states), context.cut_states.count(True)
 
 
 @given("a gateway that is cut off")
@@ -255,24 +256,24 @@
     context.paths = Paths()
     context.now_s = 10.0
     for number in range(5):
-        _lose(context.paths, f"replica-{number}", context.now_s)
-    context.detours = []
+        _note_unanswered(context.paths, f"replica-{number}", context.now_s)
+    context.used_neighbour = []
 
 
-@when("a replica answers and is lost again by turns, {gap_s:f} s apart, for {seconds:f} s")
-def comes_and_goes(context: Context, gap_s: float, seconds: float) -> None:
+@when("a replica answers and fails to answer in turns, {gap_s:f} s apart, for {seconds:f} s")
+def answers_in_turns(context: Context, gap_s: float, seconds: float) -> None:
     for turn_number in range(int(seconds / gap_s)):
         context.now_s += gap_s
         if turn_number % 2:
-            _lose(context.paths, "replica-0", context.now_s)
+            _note_unanswered(context.paths, "replica-0", context.now_s)
         else:
             context.paths.note_answered("replica-0", context.now_s)
-        context.detours.append(context.paths.uses_neighbour("replica-0"))
+        context.used_neighbour.append(context.paths.uses_neighbour("replica-0"))
 
 
-@then("its requests take the detour all the time")
-def always_detour(context: Context) -> None:
-    assert all(context.detours), context.detours
+@then("its requests go through a neighbour all the time")
+def always_through_neighbour(context: Context) -> None:
+    assert all(context.used_neighbour), context.used_neighbour
 
 
 @when("it answers every {gap_s:f} s for {seconds:f} s")
@@ -287,60 +288,65 @@
     assert not context.paths.uses_neighbour("replica-0")
 
 
-# Who is a neighbour of whom
+# Choice of neighbours
 
 
 @given("{count:d} gateways in {zones:d} zones that ask for neighbours")
-def ask_board(context: Context, count: int, zones: int) -> None:
+def ask_for_neighbours(context: Context, count: int, zones: int) -> None:
     context.registry = NeighbourRegistry()
     context.gateways = [
         Neighbour(f"edge-{number:03d}", f"zone-{number % zones}", f"10.0.0.{number}:1")
         for number in range(count)
     ]
     for _ in range(2):
-        context.told = {one: context.registry.register(one, 0.0) for one in context.gateways}
+        context.neighbours = {one: context.registry.register(one, 0.0) for one in context.gateways}
 
 
-@then("each is told 4 of its zone and 1 of another")
-def told_of_zone(context: Context) -> None:
-    for own, told in context.told.items():
-        assert [one.zone == own.zone for one in told] == [True] * 4 + [False], (own, told)
-        assert own not in told and len(set(told)) == 5
+@then("each gets 4 of its zone and 1 of another")
+def neighbours_by_zone(context: Context) -> None:
+    for own, neighbours in context.neighbours.items():
+        assert [one.zone == own.zone for one in neighbours] == [True] * 4 + [False], (
+            own,
+            neighbours,
+        )
+        assert own not in neighbours and len(set(neighbours)) == 5
 
 
-@then("none is told first of all to more than 2 of them")
-def spread(context: Context) -> None:
-    first = Counter(told[0] for told in context.told.values())
+@then("none is the first neighbour of more than 2 of them")
+def first_neighbours(context: Context) -> None:
+    first = Counter(neighbours[0] for neighbours in context.neighbours.values())
     assert max(first.values()) <= 2, first
 
 
-@when("those of a zone ask no more for {seconds:f} s")
-def ask_no_more(context: Context, seconds: float) -> None:
+@when("those of one zone stop asking for {seconds:f} s")
+def stop_asking(context: Context, seconds: float) -> None:
     staying = [one for one in context.gateways if one.zone != "zone-0"]
     for one in staying:
         context.registry.register(one, seconds)
-    context.told = {one: context.registry.register(one, seconds) for one in staying}
+    context.neighbours = {one: context.registry.register(one, seconds) for one in staying}
 
 
-@then("nobody is told of them")
-def not_told(context: Context) -> None:
-    assert all(one.zone != "zone-0" for told in context.told.values() for one in told)
+@then("no gateway gets them")
+def not_listed(context: Context) -> None:
+    assert all(
+        one.zone != "zone-0" for neighbours in context.neighbours.values() for one in neighbours
+    )
 
 
 # Readiness
 
 
-@then("it is not held to be served by a neighbour")
+@then("it has no working neighbour")
 def not_served(context: Context) -> None:
     assert context.paths.is_cut_off and not context.paths.has_working_neighbour(context.now_s)
 
 
-@when("a neighbour brings a reply")
-def brings_reply(context: Context) -> None:
+@when("a neighbour returns a reply")
+def returns_reply(context: Context) -> None:
     context.paths.note_forwarded("edge-1", context.now_s)
 
 
-@then("it is held to be served by a neighbour for {seconds:f} s")
+@then("it has a working neighbour for {seconds:f} s")
 def served(context: Context, seconds: float) -> None:
     assert context.paths.has_working_neighbour(context.now_s + seconds - 0.01)
     assert not context.paths.has_working_neighbour(context.now_s + seconds + 0.01)
@@ -354,22 +360,22 @@
         context.paths.note_asked(address, 10.0)
     for address in context.replicas[1:]:
         context.paths.note_answered(address, 10.01)
-    _lose(context.paths, context.replicas[0], 10.0)
-    # The others are not asked for a while, as at a gateway with little traffic.
+    _note_unanswered(context.paths, context.replicas[0], 10.0)
+    # The other replicas get no requests for a while, as at a gateway with little traffic.
     context.paths.note_asked(context.replicas[0], 12.0)
-    _lose(context.paths, context.replicas[0], 12.0)
+    _note_unanswered(context.paths, context.replicas[0], 12.0)
     assert context.paths.is_cut_off
 
 
-@when("that one is removed from its group and all else is quiet")
+@when("that one is removed from its group and the others are not asked")
 def one_removed(context: Context) -> None:
     context.paths.note_asked(context.replicas[0], 13.0)
     context.paths.forget_removed(lambda address: address in context.replicas[1:])
 
 
-@then("the gateway is not cut off, also once its last question is late")
+@then("the gateway is not cut off, also once its last request is late")
 def not_cut_off(context: Context) -> None:
     assert not context.paths.is_cut_off
-    _lose(context.paths, context.replicas[0], 13.0)
+    _note_unanswered(context.paths, context.replicas[0], 13.0)
     assert not context.paths.is_cut_off
     assert not list(context.paths.unreachable())
--- a/features/steps/record_steps.py
+++ b/features/steps/record_steps.py
@@ -43,14 +43,14 @@
 
 
 @then("{count:d} random record schedules with doubled requests keep them as well")
-def doubled_schedules_hold(context: Context, count: int) -> None:
-    granted = run_record_schedules(count, doubles=True).granted
+def duplicated_schedules_hold(context: Context, count: int) -> None:
+    granted = run_record_schedules(count, duplicates=True).granted
     assert granted > count / 2, f"only {granted} reservations were granted"
 
 
 @then("{count:d} random record schedules with retirements keep them as well")
 def retiring_schedules_hold(context: Context, count: int) -> None:
-    totals = run_record_schedules(count, retires=True)
+    totals = run_record_schedules(count, with_retirements=True)
     assert totals.granted > count / 3, f"only {totals.granted} reservations were granted"
     assert totals.retired > count, f"only {totals.retired} retirements were completed"
 
@@ -58,7 +58,7 @@
 @then("some of {count:d} random record schedules with retirements break a promise")
 def retiring_schedules_break(context: Context, count: int) -> None:
     try:
-        run_record_schedules(count, retires=True)
+        run_record_schedules(count, with_retirements=True)
     except AssertionError:
         return
     raise AssertionError("the mutant was not caught")
@@ -79,7 +79,7 @@
     return GroupView(0, 1, old, []), GroupView(0, 2, old, new), GroupView(0, 3, new, [])
 
 
-def _take(replica: RecordReplica, view: GroupView) -> None:
+def install_view(replica: RecordReplica, view: GroupView) -> None:
     for record in replica.install_view(view):
         replica.mark_durable(record)
 
@@ -89,15 +89,15 @@
     context.old_view, joint, context.new_view = _views()
     context.replicas = {disk: RecordReplica(disk[0], disk) for disk in ("a1", "b1", "c1", "d1")}
     for disk in ("a1", "b1", "c1"):
-        _take(context.replicas[disk], context.old_view)
-    # "c1" hears nothing of the change.
+        install_view(context.replicas[disk], context.old_view)
+    # "c1" does not learn of the change.
     for disk in ("a1", "b1", "d1"):
         replica = context.replicas[disk]
-        _take(replica, joint)
+        install_view(replica, joint)
         mark = replica.synchronisation_mark(joint)
         assert mark is not None
         replica.mark_durable(mark)
-        _take(replica, context.new_view)
+        install_view(replica, context.new_view)
 
 
 @when('a write that began before the change reaches "c1" and "b1"')
@@ -117,26 +117,26 @@
     assert not has_write_quorum(context.old_view, context.acknowledged)
 
 
-@then("the newer view is told to its sender")
-def newer_view_told(context: Context) -> None:
+@then("its sender gets the newer view")
+def newer_view_sent(context: Context) -> None:
     assert context.replies["b1"].view == context.new_view
 
 
 @then("it is complete but a read quorum of the new group does not know it")
 def complete_but_unknown(context: Context) -> None:
     assert has_write_quorum(context.old_view, context.acknowledged)
-    readers = {"a1", "d1"}
-    assert has_read_quorum(context.new_view, readers)
-    assert all(context.replicas[disk].table.get("budget/late") is None for disk in readers)
+    responders = {"a1", "d1"}
+    assert has_read_quorum(context.new_view, responders)
+    assert all(context.replicas[disk].table.get("budget/late") is None for disk in responders)
 
 
-@given("a replica whose disk refuses writes for a while")
+@given("a replica whose disk fails for a while")
 def refusing_disk(context: Context) -> None:
     context.replica = RecordReplica("a", "a1")
-    _take(context.replica, _views()[0])
+    install_view(context.replica, _views()[0])
 
 
-@when("a record is written, refused by the disk, and written again")
+@when("a record is written, its write fails, and it is written again")
 def write_twice(context: Context) -> None:
     record = StoredRecord("turn/t", 1, "", "", 60.0, 0, b"text")
     request = WriteRecords(0, 1, "a1", [record])
@@ -178,7 +178,7 @@
     path = next(context.folder.glob("*.segment"))
     data = bytearray(path.read_bytes())
     length = len(data) // 3
-    # A loss of power may keep the end of an unsynced write and lose its middle.
+    # A power failure may keep the end of an unsynced write and lose its middle.
     data[-length + 60 : -length + 90] = bytes(30)
     path.write_bytes(bytes(data))
 
@@ -196,13 +196,13 @@
     assert len(list(SegmentStore(context.folder).read())) == before + 4
 
 
-@given('a group of "a1", "b1" and "c1" with "d1" registered besides')
+@given('a group of "a1", "b1" and "c1" with "d1" registered in addition')
 def group_with_candidate(context: Context) -> None:
     context.view = _views()[0]
     context.registered = {name: member(f"{name}1") for name in "abcd"}
 
 
-@given('a group of "a1" and "b1" with nobody registered besides')
+@given('a group of "a1" and "b1" with no machine registered in addition')
 def group_of_two(context: Context) -> None:
     context.registered = {name: member(f"{name}1") for name in "ab"}
     context.view = GroupView(0, 3, list(context.registered.values()), [])
@@ -220,8 +220,8 @@
     return None if found is None else ",".join(sorted(m.disk_id for m in found.joining))
 
 
-@given('a group of "{members}" whose wanted size is {size:d}, with "{free}" registered besides')
-@given('a group of "{members}" whose wanted size is {size:d}, with "" registered besides')
+@given('a group of "{members}" whose target size is {size:d}, with "{free}" registered in addition')
+@given('a group of "{members}" whose target size is {size:d}, with "" registered in addition')
 def group_of_size(context: Context, members: str, size: int, free: str = "") -> None:
     own = [member(disk_id) for disk_id in members.split(",")]
     others = [member(free)] if free else []
@@ -230,8 +230,8 @@
     context.size = size
 
 
-@then('with "{retiring}" to be emptied and "{silent}" silent its next members are "{members}"')
-@then('with "{retiring}" to be emptied and "" silent its next members are "{members}"')
+@then('with "{retiring}" being retired and "{silent}" silent its next members are "{members}"')
+@then('with "{retiring}" being retired and "" silent its next members are "{members}"')
 def retirement_leaves(context: Context, retiring: str, members: str, silent: str = "") -> None:
     alive = set(context.registered) - {silent}
     busy = set(disk_ids(context.view.members))
@@ -256,7 +256,7 @@
     assert _next(context, silent=first + second) is None
 
 
-@then('with "{name}" to be emptied the group becomes "{members}"')
+@then('with "{name}" being retired the group becomes "{members}"')
 def retiring_replaced(context: Context, name: str, members: str) -> None:
     assert _next(context, retiring=name) == members
 
@@ -268,7 +268,7 @@
     assert _next(context) == members
 
 
-@given("a link to a port where nobody listens yet")
+@given("a link to a port without a listener")
 def link_to_silent_port(context: Context) -> None:
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
--- a/features/steps/zone_group_steps.py
+++ b/features/steps/zone_group_steps.py
@@ -50,24 +50,24 @@
 # Quorums
 
 
-@given("a zone group of {members:d} replicas in a system that bears the loss of {losses:d}")
+@given("a zone group of {members:d} replicas in a system that tolerates the loss of {losses:d}")
 def zone_group(context: Context, members: int, losses: int) -> None:
     group = ZONE_GROUPS_FROM * (losses + 1)
     context.view = GroupView(group, 1, [disk(name) for name in "abcde"[:members]], [])
     context.disks = [member.disk_id for member in context.view.members]
 
 
-@then("a write is complete on {writers:d} and a read sure with {readers:d}")
-def quorums(context: Context, writers: int, readers: int) -> None:
+@then("a write is complete on {writers:d} and a read with {responders:d}")
+def quorums(context: Context, writers: int, responders: int) -> None:
     assert has_write_quorum(context.view, context.disks[:writers])
     assert not has_write_quorum(context.view, context.disks[: writers - 1])
-    assert has_read_quorum(context.view, context.disks[:readers])
-    assert not has_read_quorum(context.view, context.disks[: readers - 1])
+    assert has_read_quorum(context.view, context.disks[:responders])
+    assert not has_read_quorum(context.view, context.disks[: responders - 1])
 
 
-@then("it {bears} the loss of as many disks at once")
-def losses_borne(context: Context, bears: str) -> None:
-    assert tolerates_losses(context.view) is (bears == "bears")
+@then("it {tolerates} the loss of as many disks at once")
+def losses_tolerated(context: Context, tolerates: str) -> None:
+    assert tolerates_losses(context.view) is (tolerates == "tolerates")
 
 
 # Views
@@ -104,7 +104,10 @@
     context.groups = {"a": a, "b": b}
 
 
-@then('it counts {count:d} groups, puts keys there alone and knows the zone groups of "a" and "b"')
+@then(
+    "it counts {count:d} groups, assigns keys to those alone "
+    'and knows the zone groups of "a" and "b"'
+)
 def knows_groups(context: Context, count: int) -> None:
     views = context.views
     assert views.common_group_count == count
@@ -115,14 +118,17 @@
     assert not views.tolerates_losses(context.groups["a"])
 
 
-@then('once the group of "b" has ended it knows that of "a" alone, and still {parts:d} parts')
-def knows_end(context: Context, parts: int) -> None:
+@then(
+    'once the group of "b" has ended it knows that of "a" alone, '
+    "and still counts {count:d} zone groups"
+)
+def knows_end(context: Context, count: int) -> None:
     context.views.update(GroupView(context.groups["b"], 2, [], []))
     assert context.views.zone_groups() == {"a": context.groups["a"]}
-    assert context.views.zone_group_count == parts
+    assert context.views.zone_group_count == count
 
 
-@given('a zone group of "a" and "b" that are both to be emptied')
+@given('a zone group of "a" and "b" that are both being retired')
 def both_retiring(context: Context) -> None:
     context.view = GroupView(GROUP, 1, [disk("a"), disk("b")], [])
     context.replica = RecordReplica("a", "a-1")
@@ -142,7 +148,7 @@
 @then("that ends only once its records have expired")
 def ends(context: Context) -> None:
     alone = GroupView(GROUP, 3, [disk("a")], [])
-    assert ended_view(alone, context.replica, {"a"}) is None, "it does not hold what is complete"
+    assert ended_view(alone, context.replica, {"a"}) is None, "it lacks complete records"
     context.replica.counts_for_reads = True
     context.replica.table.put([_record()], 0.0)
     assert ended_view(alone, context.replica, {"a"}) is None
@@ -156,7 +162,7 @@
     context.newest = {name: disk(name) for name in "abc"}
 
 
-@then('with "c" on a new disk the change goes on with that')
+@then('with "c" on a new disk the change continues with that')
 def revised(context: Context) -> None:
     newest = {**context.newest, "c": disk("c", number=2)}
     found = revised_view(context.view, newest)
@@ -180,7 +186,7 @@
 
 
 @then(
-    "{count:d} random schedules of a zone group of {members:d} that bears {losses:d} "
+    "{count:d} random schedules of a zone group of {members:d} that tolerates {losses:d} losses "
     "keep budgets and records"
 )
 def schedules_hold(context: Context, count: int, members: int, losses: int) -> None:
@@ -190,8 +196,8 @@
 
 
 @then(
-    "some of {count:d} random schedules of a zone group of {members:d} that bears {losses:d} "
-    "break a promise"
+    "some of {count:d} random schedules of a zone group of {members:d} that tolerates {losses:d} "
+    "losses break a promise"
 )
 def schedules_break(context: Context, count: int, members: int, losses: int) -> None:
     try:
@@ -213,7 +219,7 @@
 
 
 def _views(context: Context) -> dict[str, GroupView]:
-    """Return the newest views of zone groups by zone, and that of the common group by ""."""
+    """Return the newest views of zone groups by zone, and that of the common group under ""."""
     item = world(context).store.get("yarrowwall-groups", "all")
     views = read_groups(StoredObject("all", 1, item["spec"], None)) or []
     return {zone_of(view) if is_zone_group(view.group) else "": view for view in views}
@@ -229,7 +235,7 @@
 
 
 def _until_done(operation, what: str) -> object:
-    """Return what an operation returns once it finds its quorum."""
+    """Retry an operation until it gets its quorum; return its result."""
     found: list[object] = []
 
     def is_done() -> bool:
@@ -327,7 +333,7 @@
     _until_done(lambda: _client(context).write(view.group, [record]), "the record is written")
 
 
-@when('the other storage machine of "{zone}" is to be emptied')
+@when('the other storage machine of "{zone}" is being retired')
 def retire_other(context: Context, zone: str) -> None:
     view = _views(context)[zone]
     others = [member for member in view.members if member.disk_id != context.new_disk]
@@ -381,7 +387,7 @@
     return [name for name in names if world(context).zone_of(name) == zone]
 
 
-@when('the storage machines of "{gone}" are killed and the store turns away those of "{cut}"')
+@when('the storage machines of "{gone}" are killed and the store refuses those of "{cut}"')
 def cut_zone(context: Context, gone: str, cut: str) -> None:
     context.gone = _storage_of(context, gone)
     for name in context.gone:
@@ -407,10 +413,10 @@
             client.write(groups[""], [_record(key)], timeout=0.2)
         except NoQuorumError:
             continue
-        raise AssertionError("the common group took a write")
+        raise AssertionError("the common group completed a write")
 
 
-@when('the store takes all back and the storage machines of "{zone}" start again')
+@when('the store accepts all again and the storage machines of "{zone}" start again')
 def heal(context: Context, zone: str) -> None:
     world(context).store.take_back()
     for name in _storage_of(context, zone):
@@ -422,7 +428,7 @@
     def write() -> None:
         _client(context).write(_views(context)[""].group, [_record("turn/healed")])
 
-    _until_done(write, "the common group takes a write")
+    _until_done(write, "the common group completes a write")
 
 
 @then('all that was written in the group of "{zone}" is found there')
--- a/features/steps/zone_world_steps.py
+++ b/features/steps/zone_world_steps.py
@@ -1,4 +1,4 @@
-"""Steps about zones of real processes that are cut off from one another."""
+"""Steps about zones of real processes that are cut off from each other."""
 
 import http.client
 import time
@@ -13,14 +13,14 @@
 from yarrowwall.replication.views import is_zone_group
 
 ANSWERED = 200
-UNSURE = 503
+UNAVAILABLE = 503
 EXHAUSTED = 402
-#: Tokens of one event, and the most of a turn.
+#: Tokens of one event, and most tokens of a turn.
 EVENT_TOKENS = 10
-MOST_TOKENS = 40
-#: Turns that the zone has to serve alone in the scenario, and those of conversations.
+MAX_TOKENS = 40
+#: Least turns that the zone serves alone in the scenario, and those of conversations among them.
 SERVED_ALONE = 27
-KEPT = 4
+TURNS_KEPT = 4
 
 
 def world(context: Context) -> ZonedWorld:
@@ -35,13 +35,13 @@
         X_Program_Id=program,
         X_Session_Id=program,
         X_Token_Budget=str(budget),
-        X_Token_Count=f"100,{MOST_TOKENS}",
+        X_Token_Count=f"100,{MAX_TOKENS}",
         **more,
     )
 
 
 class Conversation:
-    """A line of turns and what its next server has to get."""
+    """Consecutive turns of a program, and the text that its next server must receive."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -49,7 +49,7 @@
         self.expected = b""
         self.turns = 0
 
-    def go_on(self, context: Context, zone: int) -> Answer:
+    def run_turn(self, context: Context, zone: int) -> Answer:
         """Run the next turn."""
         text = f"{self.name} {self.turns};"
         more = {"X_Previous_Turn": self.last} if self.last else {}
@@ -61,9 +61,9 @@
             self.turns += 1
         return answer
 
-    def must_go_on(self, context: Context, zone: int) -> None:
-        """Run the next turn, which has to be answered."""
-        answer = self.go_on(context, zone)
+    def run_answered_turn(self, context: Context, zone: int) -> None:
+        """Run the next turn and check that it is answered."""
+        answer = self.run_turn(context, zone)
         assert answer.status == ANSWERED and answer.is_whole, answer
 
 
@@ -78,8 +78,10 @@
 @when("a conversation has two turns in zone {zone:d}")
 def first_conversation(context: Context, zone: int) -> None:
     context.first = Conversation("first")
-    wait_until(lambda: context.first.go_on(context, zone).status == ANSWERED, "the store can tell")
-    context.first.must_go_on(context, zone)
+    wait_until(
+        lambda: context.first.run_turn(context, zone).status == ANSWERED, "the store answers"
+    )
+    context.first.run_answered_turn(context, zone)
 
 
 @when("a program with {budget:d} tokens has run a turn in zone {zone:d}")
@@ -117,7 +119,7 @@
         answer = turn(context, "talk", f"early {number}", 1000, zone)
         assert answer.status == ANSWERED and answer.is_whole, answer
         seconds.append(answer.seconds)
-    # A wait for a group that is out of reach would be in each of them; a busy machine is in some.
+    # Waiting for an unreachable group would delay all of them, a busy machine only some.
     assert sorted(seconds)[len(seconds) // 2] < limit, seconds
 
 
@@ -130,16 +132,16 @@
 
 
 @when("a conversation goes on for two turns in zone {zone:d}")
-def first_goes_on(context: Context, zone: int) -> None:
-    context.first.must_go_on(context, zone)
-    context.first.must_go_on(context, zone)
+def first_continues(context: Context, zone: int) -> None:
+    context.first.run_answered_turn(context, zone)
+    context.first.run_answered_turn(context, zone)
 
 
 @when("a conversation of {turns:d} turns begins in zone {zone:d}")
 def second_conversation(context: Context, turns: int, zone: int) -> None:
     context.second = Conversation("second")
     for _ in range(turns):
-        context.second.must_go_on(context, zone)
+        context.second.run_answered_turn(context, zone)
 
 
 @then("zone {zone:d} is ready")
@@ -162,14 +164,14 @@
     }
     assert found["yarrowwall_zone_turns_total"] >= SERVED_ALONE, found
     assert found["yarrowwall_zone_tokens_total"] > SERVED_ALONE * EVENT_TOKENS, found
-    assert found["yarrowwall_zone_turns_kept_total"] >= KEPT, found
+    assert found["yarrowwall_zone_turns_kept_total"] >= TURNS_KEPT, found
     assert found['yarrowwall_group_reached{group="0"}'] == 0.0, found
 
 
 @then("a turn in zone {zone:d} that goes on from that conversation gets 503")
 def not_found_elsewhere(context: Context, zone: int) -> None:
-    answer = context.second.go_on(context, zone)
-    assert answer.status == UNSURE and "Retry-After" in answer.headers, answer
+    answer = context.second.run_turn(context, zone)
+    assert answer.status == UNAVAILABLE and "Retry-After" in answer.headers, answer
 
 
 @then("the program with {budget:d} tokens gets no more than its budget in all zones")
@@ -179,28 +181,28 @@
         status = spend(context, number % len(ZONES))
         statuses.append(status)
         if status == EXHAUSTED:
-            # Also with what the other side may still hold there is no room for one turn more, and
-            # the zone that is alone can't tell.
-            assert sum(context.spent) + MOST_TOKENS > budget, context.spent
+            # The remaining budget is too small for another turn, even with the part that the other
+            # side may still hold. The isolated zone cannot know that.
+            assert sum(context.spent) + MAX_TOKENS > budget, context.spent
             assert ZONES[number % len(ZONES)] != CUT_ZONE, statuses
     assert sum(context.spent) <= budget, context.spent
-    # Each side of the cut had a part.
+    # Each side of the cut had a part of the budget.
     assert sum(context.spent) > budget / 2, context.spent
-    assert set(statuses) <= {ANSWERED, UNSURE, EXHAUSTED}, statuses
+    assert set(statuses) <= {ANSWERED, UNAVAILABLE, EXHAUSTED}, statuses
 
 
 @then("within {limit:d} s the conversation that began there goes on in zones 1 and 2")
-def second_goes_on(context: Context, limit: int) -> None:
+def second_continues(context: Context, limit: int) -> None:
     end = time.monotonic() + limit
-    while context.second.go_on(context, 1).status != ANSWERED:
+    while context.second.run_turn(context, 1).status != ANSWERED:
         assert time.monotonic() < end
         time.sleep(0.1)
-    context.second.must_go_on(context, 2)
+    context.second.run_answered_turn(context, 2)
 
 
 @then("the first conversation goes on in zone {zone:d}")
 def first_elsewhere(context: Context, zone: int) -> None:
-    context.first.must_go_on(context, zone)
+    context.first.run_answered_turn(context, zone)
 
 
 @then("within {limit:d} s its turns are copied to their common groups")
@@ -208,7 +210,7 @@
     def lines(kind: str) -> int:
         return sum(line["kind"] == kind for line in world(context).log("edge-0"))
 
-    assert lines("TurnKeptInZone") >= KEPT, lines("TurnKeptInZone")
+    assert lines("TurnKeptInZone") >= TURNS_KEPT, lines("TurnKeptInZone")
     end = time.monotonic() + limit
     while lines("TurnCopied") < lines("TurnKeptInZone"):
         assert time.monotonic() < end, (lines("TurnCopied"), lines("TurnKeptInZone"))
--- a/features/support/coordinated_group.py
+++ b/features/support/coordinated_group.py
@@ -1,4 +1,4 @@
-"""One storage machine's coordinator, with a store and other machines that stand in."""
+"""The coordinator of one storage machine, with fakes for the store and the other machines."""
 
 import os
 import time
@@ -20,7 +20,7 @@
 
 
 class GroupsStore:
-    """Holds the groups' object, as the platform's store does."""
+    """A fake of the platform's store that holds the object with all views."""
 
     def __init__(self, views: list[GroupView]) -> None:
         self.item = StoredObject(GROUPS_NAME, 1, groups_spec(views), {})
@@ -39,12 +39,12 @@
         return self.item
 
     def put(self, view: GroupView) -> None:
-        """Take a view that another machine proposed."""
+        """Store a view that another machine proposed."""
         self.item = StoredObject(GROUPS_NAME, self.item.revision + 1, groups_spec([view]), {})
 
 
-class HeardPeers(ReplicaPeers):
-    """Machines that answer at once; a disk has copied as soon as it joins."""
+class AnsweringPeers(ReplicaPeers):
+    """Machines that answer at once and whose disks have copied as soon as they join."""
 
     def __init__(self, store: GroupsStore, links: LinkTable) -> None:
         super().__init__(OWN, f"zone-{OWN}", links, time.monotonic)
@@ -52,17 +52,17 @@
         self.are_silent = False
 
     def register(self, disk_id: str) -> None:
-        """Take in a machine that registers with a disk."""
+        """Register a machine with a disk."""
         self.note_registration(disk_id[0], member(disk_id), None)
 
-    def hear(self) -> None:
-        """Take in an answer of each machine."""
+    def answer_all(self) -> None:
+        """Handle an answer of each machine, unless they are silent."""
         others = [known for known in self.registered.values() if known.node_id != OWN]
         for known in [] if self.are_silent else others:
             self._handle_reply(known, time.monotonic(), self.status(known.disk_id))
 
     def status(self, disk_id: str) -> StatusReply:
-        """Return the state of a disk that holds all that its group had completed."""
+        """Return the status of a disk that holds every complete record of its group."""
         view = self._store_view()
         is_member = disk_id in [known.disk_id for known in all_members(view)]
         epoch = view.epoch if is_member else 0
@@ -75,14 +75,14 @@
 
 
 class CoordinatedGroup:
-    """A group as the storage machine ``a``, whose disk is ``a1``, looks after it."""
+    """A group that is coordinated by the storage machine ``a`` with the disk ``a1``."""
 
     def __init__(self, disks: list[str]) -> None:
-        self.noted: list[Decision] = []
-        log = DecisionLog(OWN, self.noted.append, os.open(os.devnull, os.O_WRONLY))
+        self.logged: list[Decision] = []
+        log = DecisionLog(OWN, self.logged.append, os.open(os.devnull, os.O_WRONLY))
         view = GroupView(0, 1, [member(disk_id) for disk_id in disks], [])
         self.store = GroupsStore([view])
-        self.peers = HeardPeers(self.store, LinkTable(log, time.monotonic))
+        self.peers = AnsweringPeers(self.store, LinkTable(log, time.monotonic))
         own = MachineReplicas(
             f"zone-{OWN}", RecordReplica(OWN, f"{OWN}1"), RecordReplica(OWN, "z1")
         )
--- a/features/support/journal_model.py
+++ b/features/support/journal_model.py
@@ -1,8 +1,8 @@
 """Random schedules of several owners and three replicas of one log.
 
-Every entry names a digest of the log it was appended to, so a log that mixes
-entries of different owners is seen at once; and whatever any owner took for
-chosen must stay in every later owner's log.
+Every entry contains a digest of the log to which it was appended, so a log that mixes entries of
+different owners is detected. An entry that any owner found chosen must stay in the log of every
+later owner.
 """
 
 from hypothesis import given
@@ -30,7 +30,7 @@
 
 NAMES = ("a", "b", "c")
 OWNERS = 3
-MOST_OWNERS_EVER = 8
+MAX_OWNERS = 8
 
 
 class JournalSchedule:
@@ -54,7 +54,7 @@
             self._deliver(detail, keep=True)
         elif action == 8 and self.in_flight:
             self._cut_off(NAMES[detail % len(NAMES)], others=detail % 2 == 0)
-        elif action == 9 and len(self.owners) < MOST_OWNERS_EVER:
+        elif action == 9 and len(self.owners) < MAX_OWNERS:
             self._start_owner(detail)
         elif self.owners:
             self._act(detail % len(self.owners), append=action == 10)
@@ -82,7 +82,7 @@
             self._send(number, owner.retransmit())
 
     def _deliver(self, detail: int, keep: bool) -> None:
-        # Mostly one of the latest messages, so that owners get on; any other now and then.
+        # Mostly one of the latest messages, so that owners make progress; sometimes any other.
         window = len(self.in_flight) if detail % 8 == 0 else min(6, len(self.in_flight))
         position = -1 - detail // 8 % window
         number, name, message = self.in_flight[position]
@@ -114,13 +114,13 @@
         self._check_chosen(owner)
 
     def _check_whole(self, owner: ProgramLog) -> None:
-        """Each entry stands behind the very log it was appended to."""
+        """Check that each entry follows the log to which it was appended."""
         for position, entry in enumerate(owner.entries):
             before = digest(*(earlier.decode() for earlier in owner.entries[:position]))
             assert entry.decode().startswith(before), "entries of different logs are mixed"
 
     def _check_chosen(self, owner: ProgramLog) -> None:
-        """What was chosen once is chosen for ever."""
+        """Check that chosen entries are never replaced."""
         chosen = owner.entries[: owner.chosen]
         common = min(len(chosen), len(self.chosen))
         assert chosen[:common] == self.chosen[:common], "a chosen entry was replaced"
@@ -129,7 +129,7 @@
 
 
 def run_schedules(count: int) -> None:
-    """Run so many random schedules, the same ones every time.
+    """Run a number of random schedules, the same ones every time.
 
     :raises AssertionError: with the shortest schedule that breaks an invariant.
     """
--- a/features/support/record_model.py
+++ b/features/support/record_model.py
@@ -1,9 +1,9 @@
 """Random schedules of the record store: gateways, replicas, changes of the group, losses.
 
-Messages are lost, late and reordered; replicas lose power (what was not on disk is
-gone) or their disks; the group changes meanwhile. Gateways reserve tokens the way the
-ledger does, by the same quorum rules, and the model checks from outside that granted
-reservations never exceed the budget and that complete records are always found.
+Messages are lost, late and reordered, replicas lose power (and all that was not on disk) or their
+disks, and the group changes. Gateways reserve tokens like the ledger, by the same quorum rules.
+The model checks that granted reservations never exceed the budget and that every complete record
+can be read.
 """
 
 import random
@@ -39,18 +39,18 @@
 
 BUDGET = 2
 PROGRAM = "program"
-MOST_STEPS = 250
-#: Steps that a granted turn may take until it is settled.
-MOST_TURN_STEPS = 40
-#: Copies of which one may be lost.
-LEAST_COPIES = 2
+MAX_STEPS = 250
+#: Limit of the steps between the grant of a turn and its settlement.
+MAX_TURN_STEPS = 40
+#: Least copies with which the loss of one is survived.
+MIN_COPIES = 2
 #: Versions of a reservation's record.
 RESERVED = 0
 SETTLED = 1
 
 
 def member(disk_id: str) -> Member:
-    """Return a member whose node has the disk's first letter."""
+    """Return a member whose node id is the first letter of the disk id."""
     return Member(disk_id[0], disk_id, f"10.0.0.{ord(disk_id[0])}:1", f"zone-{disk_id[0]}")
 
 
@@ -63,7 +63,7 @@
     waiting: list[tuple[LogRecord, Callable[[], None]]] = field(default_factory=list)
 
     def persist(self, records: list[LogRecord], done: Callable[[], None]) -> None:
-        """Queue log records; ``done`` follows the last one."""
+        """Queue log records; ``done`` is called once the last one is written."""
         if not records:
             done()
             return
@@ -80,7 +80,7 @@
             done()
 
     def lose_power(self) -> None:
-        """Start again from what is on disk."""
+        """Restart with the state that is on disk."""
         self.waiting.clear()
         replica = RecordReplica(self.replica.node_id, self.replica.disk_id)
         replica.restore(self.disk, 0.0)
@@ -89,67 +89,67 @@
 
 @dataclass
 class Call:
-    """A request on its way to one machine, and what takes its reply."""
+    """A request in flight to one machine, with the handler of its reply."""
 
     node_id: str
     request: object
     take: Callable[[object], None]
 
 
-class Reading:
-    """What the replies of replicas tell of an owner."""
+class OwnerReplies:
+    """Collects replicas' replies about an owner."""
 
     def __init__(self) -> None:
         self.acknowledged: set[str] = set()
-        self.readers: set[str] = set()
+        self.responders: set[str] = set()
         self._amounts: dict[str, Amount] = {}
 
-    def taking(self, target: Member) -> Callable[[object], None]:
-        """Return what takes in one machine's reply."""
+    def handler_for(self, target: Member) -> Callable[[object], None]:
+        """Return the handler of one machine's reply."""
 
         def take(reply: object) -> None:
             if not isinstance(reply, KeysReply) or reply.status is not ReplyStatus.OK:
                 return
             self.acknowledged.add(target.disk_id)
             if reply.is_reader:
-                self.readers.add(target.disk_id)
+                self.responders.add(target.disk_id)
             held = zip(reply.keys, reply.versions, reply.amounts, strict=True)
-            news = {key: Amount(version, tokens) for key, version, tokens in held}
-            self._amounts = merged(self._amounts, news)
+            amounts = {key: Amount(version, tokens) for key, version, tokens in held}
+            self._amounts = merged(self._amounts, amounts)
 
         return take
 
     def others(self, key: str) -> dict[str, Amount]:
-        """Return all amounts but that of one key."""
+        """Return all amounts except that of one key."""
         return {other: amount for other, amount in self._amounts.items() if other != key}
 
 
 class RecordSchedule:
     """One random schedule.
 
-    :param seed: fixes every choice.
-    :param doubles: whether requests of gateways may arrive twice, the second time at any moment
-        later, as they do that go directly and through a neighbour.
-    :param retires: whether machines are emptied, removed with their disks and come back with
-        empty ones.
+    :param seed: seed of all random choices.
+    :param duplicates: whether requests of gateways may arrive twice, the second time at any later
+        moment, as if they were sent directly and through a neighbour.
+    :param with_retirements: whether machines are retired, removed with their disks, and return
+        with empty ones.
     """
 
-    def __init__(self, seed: int, doubles: bool = False, retires: bool = False) -> None:
-        self._doubles = doubles
-        self._retires = retires
+    def __init__(self, seed: int, duplicates: bool = False, with_retirements: bool = False) -> None:
+        self._duplicates = duplicates
+        self._with_retirements = with_retirements
         self.random = random.Random(seed)
         self.machines = {name: self._machine(name + "1") for name in "abcd"}
         self.view = GroupView(0, planner_first_epoch(), [member(x) for x in ("a1", "b1", "c1")], [])
         for name in "abc":
             self._install(name, self.view)
         self.calls: list[Call] = []
-        #: What each granted reservation counts for: its token, or what it was settled to.
+        #: Tokens of each granted reservation, or the amount to which it was settled.
         self.granted: dict[str, int] = {}
         self.complete: set[str] = set()
         self.tasks: list[Iterator[None]] = []
         self.disks_lost = 0
-        #: Whether the group has had too few copies to lose another one since a disk was lost.
-        self._is_short = False
+        #: Whether a disk was lost and the group has not had two copies again since.
+        self._lacks_copies = False
         self.retiring: set[str] = set()
         self.removed: set[str] = set()
         self.retired = 0
@@ -176,8 +176,8 @@
         call = self.calls.pop(self.random.randrange(len(self.calls)))
         if self.random.random() < 0.1 or call.node_id in self.removed:
             return
-        is_doubled = isinstance(call.request, ReserveRecord | WriteRecords | ReadOwner)
-        if self._doubles and is_doubled and self.random.random() < 0.4:
+        may_be_duplicated = isinstance(call.request, ReserveRecord | WriteRecords | ReadOwner)
+        if self._duplicates and may_be_duplicated and self.random.random() < 0.4:
             self.calls.append(call)
         machine = self.machines[call.node_id]
         outcome = machine.replica.handle(call.request, 0.0)
@@ -186,31 +186,31 @@
     # Gateways
 
     def reservation(self, name: str) -> Iterator[None]:
-        """Reserve one token the way the ledger does, and settle it some time later."""
+        """Reserve one token as the ledger does, and settle it some time later."""
         record = StoredRecord(f"budget/{name}", RESERVED, PROGRAM, "", 60.0, 1, b"")
         view = self.view
-        met = Reading()
+        first_replies = OwnerReplies()
         for target in all_members(view):
             request = ReserveRecord(view.group, view.epoch, target.disk_id, record)
-            self.send(target, request, met.taking(target))
-        while not has_write_quorum(view, met.acknowledged):
+            self.send(target, request, first_replies.handler_for(target))
+        while not has_write_quorum(view, first_replies.acknowledged):
             yield
         self.complete.add(record.key)
-        is_sure = not view.joining and has_read_quorum(view, met.readers)
-        others = met.others(record.key)
-        if not (is_sure and self.is_alone(others)):
-            later = Reading()
+        is_complete = not view.joining and has_read_quorum(view, first_replies.responders)
+        others = first_replies.others(record.key)
+        if not (is_complete and self.is_alone(others)):
+            later_replies = OwnerReplies()
             view = self.view
             for target in all_members(view):
                 request = ReadOwner(view.group, view.epoch, target.disk_id, PROGRAM)
-                self.send(target, request, later.taking(target))
-            while not has_read_quorum(view, later.readers):
+                self.send(target, request, later_replies.handler_for(target))
+            while not has_read_quorum(view, later_replies.responders):
                 yield
-            others = merged(others, later.others(record.key))
+            others = merged(others, later_replies.others(record.key))
         if not self.may_grant(others):
             return
         self.granted[name] = record.amount
-        for _ in range(self.random.randrange(MOST_TURN_STEPS)):
+        for _ in range(self.random.randrange(MAX_TURN_STEPS)):
             yield
         emitted = self.random.choice((0, 1))
         self.granted[name] = emitted
@@ -221,25 +221,25 @@
 
     @staticmethod
     def is_alone(others: dict[str, Amount]) -> bool:
-        """Return whether every other turn that was met is settled."""
+        """Return whether every other turn that was found is settled."""
         return all(other.version == SETTLED for other in others.values())
 
     @staticmethod
     def may_grant(others: dict[str, Amount]) -> bool:
-        """Return whether the budget holds one token more than what others reserved."""
+        """Return whether the budget allows one more token than the others reserved."""
         return sum(other.tokens for other in others.values()) + 1 <= BUDGET
 
     # Replicas
 
     def synchronisation(self, name: str) -> Iterator[None]:
-        """Copy to a machine the way the synchroniser does."""
+        """Copy records to a machine as the synchroniser does."""
         machine = self.machines[name]
         replica, view = machine.replica, machine.replica.view
         if view is None or not replica.needs_synchronisation:
             return
-        readers = {replica.disk_id} if replica.counts_for_reads else set()
+        responders = {replica.disk_id} if replica.counts_for_reads else set()
         for source in view.members:
-            if source.disk_id == replica.disk_id or has_read_quorum(view, readers):
+            if source.disk_id == replica.disk_id or has_read_quorum(view, responders):
                 continue
             replies: list[object] = []
             self.send(source, InstallView(view), replies.append)
@@ -268,20 +268,22 @@
             )
             while not written:
                 yield
-            readers.add(source.disk_id)
-        mark = replica.synchronisation_mark(view) if has_read_quorum(view, readers) else None
+            responders.add(source.disk_id)
+        mark = replica.synchronisation_mark(view) if has_read_quorum(view, responders) else None
         if mark is not None and machine.replica is replica:
             machine.persist([mark], lambda: None)
 
     # The group
 
     def change_group(self) -> None:
-        """Begin or end a change the way the coordinator does."""
+        """Begin or end a change as the coordinator does."""
         registered = {
-            name: member(machine.replica.disk_id) for name, machine in self.there().items()
+            name: member(machine.replica.disk_id)
+            for name, machine in self.present_machines().items()
         }
         statuses = {
-            machine.replica.disk_id: machine.replica.status() for machine in self.there().values()
+            machine.replica.disk_id: machine.replica.status()
+            for machine in self.present_machines().values()
         }
         if self.view.joining and (settled := planner.settled_view(self.view, statuses)) is not None:
             self.view = settled
@@ -299,40 +301,40 @@
             self.view = found
 
     def alive(self) -> set[str]:
-        """Return the machines that answered whoever proposes a change."""
-        return set(self.there()) - {self.random.choice(sorted(self.machines))}
+        """Return the machines that answered the proposer of a change."""
+        return set(self.present_machines()) - {self.random.choice(sorted(self.machines))}
 
-    def there(self) -> dict[str, Machine]:
+    def present_machines(self) -> dict[str, Machine]:
         """Return the machines that are not removed."""
         return {name: one for name, one in self.machines.items() if name not in self.removed}
 
     @property
     def size(self) -> int:
-        """Return how many replicas are wanted."""
+        """Return the target number of replicas."""
         return 3
 
     @property
-    def is_sound(self) -> bool:
-        """Return whether the group is settled and each member holds what was complete."""
-        sound = [
+    def is_healthy(self) -> bool:
+        """Return whether the group is settled and each member holds every complete record."""
+        healthy = [
             known
             for known in self.view.members
             if self.machines[known.node_id].replica.disk_id == known.disk_id
             and self.machines[known.node_id].replica.counts_for_reads
         ]
-        return not self.view.joining and len(sound) == len(self.view.members)
+        return not self.view.joining and len(healthy) == len(self.view.members)
 
     def lose_disk(self) -> None:
-        """Give one machine an empty disk, if the group bears that now.
+        """Give one machine an empty disk, if the group tolerates that now.
 
-        Beside retirements no copy may be lost for good (see ``check_kept``), so a group that a lost
-        disk left with one copy bears no other loss until it has two again; one that a retirement
-        left so has to.
+        With retirements a lost copy may not be recoverable (see ``check_copies``). A group that a
+        lost disk left with one copy therefore loses no other disk until it has two copies again.
+        A group that a retirement left with one copy must survive the loss.
         """
-        is_last = self._is_short and len(self.view.members) < LEAST_COPIES
-        if not self.is_sound or (self._retires and is_last):
+        is_last = self._lacks_copies and len(self.view.members) < MIN_COPIES
+        if not self.is_healthy or (self._with_retirements and is_last):
             return
-        self._is_short = True
+        self._lacks_copies = True
         self._replace_disk(self.random.choice(self.view.members).node_id)
 
     def _replace_disk(self, name: str) -> None:
@@ -341,41 +343,41 @@
 
     # Retirements
 
-    def is_emptied(self, name: str) -> bool:
-        """Return whether a machine that is to be emptied may be removed with its disk."""
+    def is_retired(self, name: str) -> bool:
+        """Return whether a retiring machine may be removed with its disk."""
         return member_of(self.view, self.machines[name].replica.disk_id) is None
 
-    def remove_emptied(self) -> None:
+    def remove_retired(self) -> None:
         """Remove machines whose retirement is complete."""
         for name in sorted(self.retiring):
-            if self.is_emptied(name):
+            if self.is_retired(name):
                 self.retiring.discard(name)
                 self.removed.add(name)
                 self.retired += 1
                 self._replace_disk(name)
 
     def change_machines(self) -> None:
-        """Begin to empty a machine, or let a removed one come back with an empty disk."""
+        """Begin to retire a machine, or let a removed one return with an empty disk."""
         if self.removed and self.random.random() < 0.4:
             self.removed.discard(self.random.choice(sorted(self.removed)))
         else:
-            self.retiring.add(self.random.choice(sorted(self.there())))
+            self.retiring.add(self.random.choice(sorted(self.present_machines())))
 
-    def tell_view(self, machine: Machine) -> None:
-        """Let a machine hear of the newest view from the store."""
+    def deliver_view(self, machine: Machine) -> None:
+        """Install the newest view from the store in a machine."""
         if member_of(self.view, machine.replica.disk_id) or machine.replica.view:
             machine.persist(machine.replica.install_view(self.view), lambda: None)
 
     # The schedule
 
     def _begin_reservations(self, count: int) -> None:
-        """Begin turns at once, as sub-agents do."""
+        """Begin several turns at the same time, as sub-agents do."""
         for _ in range(count):
             self.reservations += 1
             self.tasks.append(self.reservation(str(self.reservations)))
 
     def step(self) -> None:
-        """Do one random thing."""
+        """Run one random step."""
         chance = self.random.random()
         names = sorted(self.machines)
         for _ in range(3):
@@ -386,7 +388,7 @@
             pass
         elif chance < 0.7:
             name = self.random.choice(names)
-            self.tell_view(self.machines[name])
+            self.deliver_view(self.machines[name])
             self.tasks.append(self.synchronisation(name))
         elif chance < 0.85:
             self.change_group()
@@ -394,25 +396,25 @@
             self.machines[self.random.choice(names)].lose_power()
         elif chance < 0.9:
             self.lose_disk()
-        elif self._retires and chance < 0.93:
+        elif self._with_retirements and chance < 0.93:
             self.change_machines()
         else:
             self._begin_reservations(self.random.choice((1, 3)))
         for task in list(self.tasks):
             if next(task, "over") == "over":
                 self.tasks.remove(task)
-        self.remove_emptied()
-        if self.is_sound and len(self.view.members) >= LEAST_COPIES:
-            self._is_short = False
+        self.remove_retired()
+        if self.is_healthy and len(self.view.members) >= MIN_COPIES:
+            self._lacks_copies = False
         for machine in self.machines.values():
             machine.replica.validate_state()
 
     def check(self) -> None:
-        """Raise AssertionError if more was granted than the budget holds."""
+        """Raise AssertionError if the granted tokens exceed the budget."""
         assert sum(self.granted.values()) <= BUDGET, f"granted {self.granted} of {BUDGET}"
 
-    def check_kept(self) -> None:
-        """Raise AssertionError if a complete record is on no disk of the group any more."""
+    def check_copies(self) -> None:
+        """Raise AssertionError if no disk of the group holds a complete record any more."""
         held = {
             record.key
             for known in all_members(self.view)
@@ -422,17 +424,17 @@
         assert self.complete <= held, f"no copy is left of {self.complete - held}"
 
     def check_records(self) -> None:
-        """Raise AssertionError if any read quorum of today lacks a complete record."""
+        """Raise AssertionError if any current read quorum lacks a complete record."""
         view = self.view
         replicas = {machine.replica.disk_id: machine.replica for machine in self.machines.values()}
-        readers = [
+        responders = [
             known.disk_id
             for known in view.members
             if known.disk_id in replicas
             and replicas[known.disk_id].counts_for_reads
             and replicas[known.disk_id].epoch == view.epoch
         ]
-        for quorum in combinations(readers, read_quorum(view.group, len(view.members))):
+        for quorum in combinations(responders, read_quorum(view.group, len(view.members))):
             held = {record.key for disk in quorum for record in replicas[disk].table.all()}
             assert self.complete <= held, f"lost {self.complete - held}"
 
@@ -443,27 +445,29 @@
 
 
 class Totals(NamedTuple):
-    """What happened in schedules."""
+    """Numbers of granted reservations and completed retirements."""
 
     granted: int
     retired: int
 
 
-def run_record_schedules(count: int, doubles: bool = False, retires: bool = False) -> Totals:
-    """Run schedules; return what happened in all of them.
+def run_record_schedules(
+    count: int, duplicates: bool = False, with_retirements: bool = False
+) -> Totals:
+    """Run schedules; return their totals.
 
-    :raises AssertionError: naming the seed, if a promise was broken.
+    :raises AssertionError: if a check failed; the text names the seed.
     """
     granted = retired = 0
     for seed in range(count):
-        schedule = RecordSchedule(seed, doubles, retires)
-        for _ in range(MOST_STEPS):
+        schedule = RecordSchedule(seed, duplicates, with_retirements)
+        for _ in range(MAX_STEPS):
             schedule.step()
             try:
                 schedule.check()
                 schedule.check_records()
-                if retires:
-                    schedule.check_kept()
+                if with_retirements:
+                    schedule.check_copies()
             except AssertionError as error:
                 raise AssertionError(f"seed {seed}: {error}") from error
         granted += len(schedule.granted)
--- a/features/support/record_mutants.py
+++ b/features/support/record_mutants.py
@@ -1,4 +1,4 @@
-"""Mutants of the record store: each removes one protecting step."""
+"""Mutants of the record store, each without one protective step."""
 
 from contextlib import ExitStack
 from unittest.mock import patch
@@ -27,30 +27,33 @@
     done()
 
 
-def _takes_view(self: RecordReplica, view: GroupView) -> None:
+def _apply_any_view(self: RecordReplica, view: GroupView) -> None:
     if view.epoch > self.epoch:
         self.view = view
         self.counts_for_reads = True
 
 
-def _is_not_wanted(self: RecordSchedule, name: str) -> bool:
-    """Forget that members of before hold what is complete until the change is over."""
+def _is_in_no_newest_view(self: RecordSchedule, name: str) -> bool:
+    """Ignore that the old members hold the complete records until the change ends."""
     return all(known.node_id != name for known in self.view.joining or self.view.members)
 
 
-class _CopyNothing:
-    """Two steps protect the copy: the planner waits for it, and a replica knows of it."""
+class _WithoutCopying:
+    """Removes both steps that protect the copy.
+
+    The planner waits until it is finished, and a replica counts for reads only after it.
+    """
 
     def __init__(self) -> None:
         self._patches = ExitStack()
 
     def start(self) -> None:
-        """Put the mutant in place."""
+        """Apply the mutant."""
         self._patches.enter_context(patch.object(planner, "settled_view", _settled_at_once))
-        self._patches.enter_context(patch.object(RecordReplica, "_apply_view", _takes_view))
+        self._patches.enter_context(patch.object(RecordReplica, "_apply_view", _apply_any_view))
 
     def stop(self) -> None:
-        """Take the mutant away."""
+        """Remove the mutant."""
         self._patches.close()
 
 
@@ -67,12 +70,12 @@
     "takes requests of any epoch": lambda: patch.object(
         RecordReplica, "_refusal", lambda self, group, epoch, disk_id: None
     ),
-    "ends a change of the group without a copy": _CopyNothing,
-    "empties a machine whatever copies are left": lambda: patch.object(
+    "ends a change of the group without a copy": _WithoutCopying,
+    "retires a machine however few copies remain": lambda: patch.object(
         planner, "_min_copies", lambda group, size: 0
     ),
     "removes a machine before its copies are elsewhere": lambda: patch.object(
-        RecordSchedule, "is_emptied", _is_not_wanted
+        RecordSchedule, "is_retired", _is_in_no_newest_view
     ),
     "acknowledges what is not on disk": lambda: patch.object(Machine, "persist", _persist_later),
 }
--- a/features/support/zone_groups_mutants.py
+++ b/features/support/zone_groups_mutants.py
@@ -1,4 +1,4 @@
-"""Mutants of zone groups: each removes one protecting step."""
+"""Mutants of zone groups, each without one protective step."""
 
 from unittest.mock import patch
 
--- a/features/support/zoned_machine.py
+++ b/features/support/zoned_machine.py
@@ -1,6 +1,6 @@
 """Runs a machine of the platform whose links to other zones can be cut.
 
-The test names a file with the addresses to use instead of those of machines in other zones.
+The argument names a file that maps the addresses of machines in other zones to those of proxies.
 """
 
 import json
@@ -20,8 +20,8 @@
     open_directly = rpc.open_socket
 
     def open_socket(address: str, timeout: float):
-        ways = json.loads(Path(sys.argv[1]).read_text())
-        return open_directly(ways.get(address, address), timeout)
+        addresses = json.loads(Path(sys.argv[1]).read_text())
+        return open_directly(addresses.get(address, address), timeout)
 
     rpc.open_socket = open_socket
 
--- a/features/support/zoned_world.py
+++ b/features/support/zoned_world.py
@@ -1,4 +1,4 @@
-"""Three zones of machines as processes, one of which can be cut off from the others."""
+"""Machines in three zones as processes, of which one zone can be cut off from the others."""
 
 import json
 import sys
@@ -9,17 +9,18 @@
 from yarrowwall.replication.views import is_zone_group
 
 ZONES = ("zone-a", "zone-b", "zone-c")
-#: The one that is cut off from the others.
+#: The zone that is cut off from the others.
 CUT_ZONE = ZONES[0]
 STORAGE_MACHINES = 6
-#: Status of a call that did nothing.
+#: HTTP status of a call without effect.
 BUSY = 503
 
 
 class PatientStore(ObjectStore):
-    """A store that takes the first groups only once all storage machines are in zones' groups.
+    """A store that accepts the first groups only if all storage machines are in zone groups.
 
-    They are made of whoever has registered by then, and on a busy machine some start late.
+    The first groups consist of the machines that have registered by then, and on a busy machine
+    some start late.
     """
 
     def __init__(self, machines: int = STORAGE_MACHINES) -> None:
@@ -42,10 +43,10 @@
 
 
 class ZonedWorld(PlatformWorld):
-    """Stand-ins and machines in zones: a gateway and two storage machines in each."""
+    """Three zones with a gateway and two storage machines each, and fakes of the platform."""
 
     def __init__(self) -> None:
-        #: Proxies by the zone that a link begins in and the machine that it ends at.
+        #: Proxies by the zone in which a link begins and the machine at which it ends.
         self._proxies: dict[tuple[str, str], Proxy] = {}
         super().__init__(len(ZONES), STORAGE_MACHINES, ZONES)
 
@@ -56,42 +57,42 @@
     def start_machine(
         self, name: str, is_gateway: bool, is_first: bool = False, output: int | None = None
     ) -> None:
-        """Start a machine; those of other zones reach it over proxies, gateways included.
+        """Start a machine; all machines of other zones reach it through proxies, also gateways.
 
-        Gateways go through one another where the replicas are out of reach, so a cut that left
-        the ways between them would be none.
+        Gateways forward requests for each other when replicas are unreachable, so a cut must
+        include the links between gateways.
         """
         for zone in ZONES:
             path = self.folder / f"{zone}.json"
             if not path.exists():
                 path.write_text("{}")
         super().start_machine(name, is_gateway, is_first, output)
-        # Only links that the cut zone begins or ends: each costs a thread that looks often.
+        # Only links from and to the zone that can be cut off: each proxy costs a polling thread.
         for zone in ZONES:
             if zone != self.zone_of(name) and CUT_ZONE in (zone, self.zone_of(name)):
-                self._make_way(zone, name)
+                self._route_through_proxy(zone, name)
 
-    def _make_way(self, zone: str, name: str) -> None:
+    def _route_through_proxy(self, zone: str, name: str) -> None:
         address = self.addresses[name]["peer"]
         if (zone, name) not in self._proxies:
             self._proxies[(zone, name)] = Proxy(lambda: address)
-        ways = {
+        addresses = {
             self.addresses[other]["peer"]: proxy.address
             for (begins_in, other), proxy in self._proxies.items()
             if begins_in == zone
         }
         path = self.folder / f"{zone}.json"
         new = path.with_suffix(".new")
-        new.write_text(json.dumps(ways))
+        new.write_text(json.dumps(addresses))
         new.rename(path)
 
     def command(self, name: str) -> list[str]:
         """Return the command that runs a machine."""
-        ways = str(self.folder / f"{self.zone_of(name)}.json")
-        return [sys.executable, "-m", "features.support.zoned_machine", ways]
+        addresses_file = str(self.folder / f"{self.zone_of(name)}.json")
+        return [sys.executable, "-m", "features.support.zoned_machine", addresses_file]
 
     def set_cut(self, is_cut: bool) -> None:
-        """Let all links between one zone and the others fall silent, or pass again."""
+        """Silence all links between the zone and the others, or restore them."""
         for proxy in self._proxies.values():
             proxy.mode = Mode.SILENT if is_cut else Mode.PASS
 
@@ -103,6 +104,6 @@
 
 
 class TwoLossesWorld(ZonedWorld):
-    """Zones that keep no turns: two machines may be lost, and each zone has but two."""
+    """Zones that store no turns: two machines may be lost at once, and each zone has only two."""
 
     machines_lost_at_once = 2
