--- a/features/support/zone_mutants.py
+++ b/features/support/zone_mutants.py
@@ -23,7 +23,7 @@
 _judge = budget_parts.decide_grant
 _record = Reservations._record
 _find_turns = TurnStore._find_turns
-_WRITERS = quorum_client.WRITERS
+_WRITE_QUORUM = quorum_client.WRITE_QUORUM
 
 
 def _release_all(pieces: Mapping[int, int], tokens: int) -> dict[int, int]:
@@ -87,7 +87,9 @@
 
 
 def _one_disk_is_enough(view: Any, disks: Any) -> bool:
-    return bool(disks) if is_zone_group(view.group) else _WRITERS.is_made_by(view, disks)
+    return (
+        bool(disks) if is_zone_group(view.group) else _WRITE_QUORUM.is_reached_by_disks(view, disks)
+    )
 
 
 MUTANTS: dict[str, Callable[[], AbstractContextManager[Any]]] = {
@@ -129,7 +131,7 @@
     ),
     "treats one disk of the zone as a quorum": lambda: patch.object(
         quorum_client,
-        "WRITERS",
+        "WRITE_QUORUM",
         Quorum(
             _one_disk_is_enough,
             lambda view, found: _one_disk_is_enough(view, found.acknowledged),
