--- a/features/steps/backoff_steps.py
+++ b/features/steps/backoff_steps.py
@@ -73,7 +73,7 @@
     order.put(Member("a-1", "disk", "127.0.0.1:1", "a"))
     for _ in range(failures + 1):
         order.note_no_answer("a-1", NOW_S)
-    return order._passed_over_until["a-1"] - NOW_S
+    return order._skipped_until["a-1"] - NOW_S
 
 
 def server_pause_s(failures: int) -> float:
--- a/features/steps/following_steps.py
+++ b/features/steps/following_steps.py
@@ -100,7 +100,7 @@
 
 @when("a question sent at {sent_at_s:f} s has no answer at {now_s:f} s")
 def silence(context: Context, sent_at_s: float, now_s: float) -> None:
-    if not context.contact.is_overtaken(sent_at_s):
+    if not context.contact.is_superseded(sent_at_s):
         context.contact.note_failed(now_s)
 
 
@@ -112,7 +112,7 @@
 @then("the store counts as lost: {lost}, and at {later_s:f} s as out: {out}")
 def counts_as(context: Context, lost: str, later_s: float, out: str) -> None:
     assert (context.contact.lost_at_s is not None) == (lost == "yes")
-    assert context.contact.is_out(later_s) == (out == "yes")
+    assert context.contact.is_unavailable(later_s) == (out == "yes")
 
 
 def _told(outcomes: list[Outcome]) -> str:
--- a/features/steps/reader_steps.py
+++ b/features/steps/reader_steps.py
@@ -38,11 +38,11 @@
 READERS = ("storage-0", "storage-1", "storage-2")
 
 
-def _take_without_ends(self: ObjectCache, changes: list[Change], revision: int) -> None:
-    _take(self, [change for change in changes if not change.is_gone], revision)
+def _apply_without_deletions(self: ObjectCache, changes: list[Change], revision: int) -> None:
+    _apply(self, [change for change in changes if not change.is_gone], revision)
 
 
-_take = ObjectCache.take
+_apply = ObjectCache.apply
 _changes_since = ObjectCache.changes_since
 
 
@@ -60,7 +60,7 @@
 
 
 MUTANTS = {
-    "the ends of objects are not told": ("take", _take_without_ends),
+    "the ends of objects are not told": ("apply", _apply_without_deletions),
     "forgotten changes are passed over": ("changes_since", _pass_over_forgotten),
     "a batch that was partly known is left out": ("changes_since", _leave_out_partly_known),
 }
@@ -345,7 +345,7 @@
     context.store = StoreClient("edge-0", "a", context.silent, None, (), log, time.monotonic)
     # It has long known that there is no reader.
     context.store._started_at -= 10.0
-    context.store._answered_at -= 10.0
+    context.store._last_answer_at -= 10.0
 
 
 @when("it follows 4 kinds for 4 s")
--- a/features/support/following_mutants.py
+++ b/features/support/following_mutants.py
@@ -13,7 +13,7 @@
 from yarrowwall.watching.monitored_store import MonitoredStore
 from yarrowwall.watching.object_cache import ObjectCache
 
-_take = ObjectCache.take
+_apply = ObjectCache.apply
 _watch = KindFollower._watch
 _list = KindFollower._list
 
@@ -23,7 +23,7 @@
 
 
 def _loses_the_last(self: ObjectCache, changes: list[Change], revision: int) -> None:
-    _take(self, changes[:-1] if len(changes) > 1 else changes, revision)
+    _apply(self, changes[:-1] if len(changes) > 1 else changes, revision)
 
 
 def _goes_on_too_far(self: KindFollower, revision: int) -> int:
@@ -37,16 +37,16 @@
 
 MUTANTS: dict[str, Callable[[], AbstractContextManager[Any]]] = {
     "a watch from before an outage is trusted": lambda: patch.object(
-        MonitoredStore, "_end_doubted", _ends_nothing
+        MonitoredStore, "_interrupt_older_watches", _ends_nothing
     ),
-    "the last change of a row is lost": lambda: patch.object(ObjectCache, "take", _loses_the_last),
+    "the last change of a row is lost": lambda: patch.object(ObjectCache, "apply", _loses_the_last),
     "a wait goes on from a later revision": lambda: patch.object(
         KindFollower, "_watch", _goes_on_too_far
     ),
     "a lost question is waited for": lambda: patch.object(object_verifier, "RESEND_SECONDS", 3.0),
     "no reader is looked for": lambda: patch.object(reader_store, "READERS_CHECKED", 0),
     "pauses go on when the store is back": lambda: patch.object(
-        reader_store.StoreClient, "_note_back", lambda self: None
+        reader_store.StoreClient, "_note_reachable", lambda self: None
     ),
     "a gateway never asks for itself": lambda: patch.object(
         Freshness, "is_worth_asking", lambda self, now_s: False
--- a/features/support/reader_model.py
+++ b/features/support/reader_model.py
@@ -42,13 +42,13 @@
         self.items: dict[str, StoredObject] = {}
         self.revision = 0
 
-    def ask(self, picture: ObjectCache) -> None:
+    def ask(self, cache: ObjectCache) -> None:
         """Take in what a reader tells, as a follower does."""
         found: Changes | None = None
         if self.revision:
-            found = picture.changes_since(self.revision)
+            found = cache.changes_since(self.revision)
         if found is None:
-            listing = picture.listing()
+            listing = cache.listing()
             if listing.revision < self.revision:
                 return
             self.items = {item.name: item for item in listing.items}
@@ -69,22 +69,22 @@
     """
     rng = random.Random(seed)
     store = StoreModel()
-    pictures = [ObjectCache(), ObjectCache()]
-    for picture in pictures:
-        picture.replace_all([], store.revision)
+    caches = [ObjectCache(), ObjectCache()]
+    for cache in caches:
+        cache.replace_all([], store.revision)
     receiver = Receiver()
     for _ in range(STEPS):
         action = rng.random()
-        picture = rng.choice(pictures)
+        cache = rng.choice(caches)
         if action < 0.45:
             store.change(rng)
         elif action < 0.7:
-            picture.take(store.since(picture.revision), store.revision)
+            cache.apply(store.since(cache.revision), store.revision)
         elif action < 0.76:
-            picture.replace_all(list(store.items.values()), store.revision)
+            cache.replace_all(list(store.items.values()), store.revision)
         else:
-            receiver.ask(picture)
-    for picture in pictures:
-        picture.take(store.since(picture.revision), store.revision)
-    receiver.ask(rng.choice(pictures))
+            receiver.ask(cache)
+    for cache in caches:
+        cache.apply(store.since(cache.revision), store.revision)
+    receiver.ask(rng.choice(caches))
     return receiver.items == store.items and receiver.revision == store.revision
--- a/yarrowwall/watching/direct_watches.py
+++ b/yarrowwall/watching/direct_watches.py
@@ -1,4 +1,4 @@
-"""Watches at the store itself that end early once a reader is found."""
+"""Watches at the store itself, which are interrupted once a reader can be asked."""
 
 import eventlet
 from eventlet.event import Event
@@ -8,22 +8,21 @@
 
 
 class DirectWatches:
-    """Watches at the store itself, of several kinds at once.
+    """Concurrent watches of several kinds at the store itself.
 
-    :param store: the store itself.
+    :param store: the monitored store.
     """
 
     def __init__(self, store: MonitoredStore) -> None:
         self._store = store
-        self._open: dict[Event, None] = {}
+        self._waiting: dict[Event, None] = {}
 
     def watch(self, kind: str, revision: int, wait_s: float) -> Changes:
-        """Wait for changes, until the watch is interrupted at the longest.
+        """Return the changes after a revision; none if there was no change within the wait.
 
-        A watch whose connection is still coming up (0.4 s in a silent outage) cannot be
-        interrupted; it is left.
-
-        :raises WatchInterruptedError: if it is.
+        :raises WatchInterruptedError: if :meth:`interrupt` is called meanwhile. A request whose
+            connection is still being established, which takes up to 0.4 s while packets are lost,
+            cannot be interrupted itself, so its greenthread is killed.
         """
         ended = Event()
 
@@ -31,24 +30,24 @@
             try:
                 found = self._store.watch(kind, revision, wait_s)
             except Exception as error:
-                # Also an answer that cannot be read: whoever waits has to hear of it.
+                # Any error is passed to the waiting caller, such as that of an unreadable answer.
                 if not ended.ready():
                     ended.send_exception(error)
                 return
             if not ended.ready():
                 ended.send(found)
 
-        self._open[ended] = None
+        self._waiting[ended] = None
         asking = eventlet.spawn(ask)
         try:
             found: Changes = ended.wait()
             return found
         finally:
-            del self._open[ended]
+            del self._waiting[ended]
             asking.kill()
 
     def interrupt(self, reason: str) -> None:
-        """End all watches."""
-        for watching in list(self._open):
-            if not watching.ready():
-                watching.send_exception(WatchInterruptedError(reason))
+        """Interrupt all watches."""
+        for ended in list(self._waiting):
+            if not ended.ready():
+                ended.send_exception(WatchInterruptedError(reason))
--- a/yarrowwall/watching/follower.py
+++ b/yarrowwall/watching/follower.py
@@ -1,4 +1,4 @@
-"""Following all objects of one kind through lists and watches."""
+"""Follows all objects of one kind through lists and watches."""
 
 from collections.abc import Callable
 from typing import Any
@@ -18,42 +18,42 @@
     WatchInterruptedError,
 )
 
-#: Seconds before a failed read is tried again, doubled up to the most.
+#: Seconds before a failed read is retried, doubled up to the maximum.
 RETRY_SECONDS = 0.15
 MAX_RETRY_SECONDS = 1.0
-#: The same until the first list, without which the process is of no use.
+#: The maximum before the first list, without which the process cannot work.
 MAX_FIRST_RETRY_SECONDS = 0.3
-#: Seconds that a list may take, doubled up to the most after each that was not answered. A
-#: call that was lost in an outage is never answered, so the first are short; a slow store
-#: (0.4 s an answer was seen) is reached by the later ones.
+#: Timeout of a list in seconds, doubled up to the maximum after each failure. A call that was lost
+#: in an outage is never answered, so the first timeouts are short. The later ones are long enough
+#: for a slow store (answers that took 0.4 s have been seen).
 LIST_SECONDS = 0.3
 MAX_LIST_SECONDS = 2.4
-#: Seconds between the changes of a kind of which many come together and the next question
-#: for more, so that they are coalesced: each question is a call that is paid for.
+#: Seconds between the changes of a kind that changes in bursts and the next watch, so that changes
+#: are coalesced: each watch is a billed call.
 COALESCE_SECONDS = 0.4
-#: Seconds that a watch waits for a change. A watch that was lost in an outage says nothing
-#: until its wait is over, so one kind, the configuration, is asked for again often; once
-#: that fails, all other watches are begun anew too, so they may wait long.
+#: Seconds that a watch waits for a change. A watch that was lost in an outage returns nothing until
+#: its wait is over. Watches of the configuration are therefore short; once one of them fails, all
+#: other watches are restarted too, so those may wait long.
 WATCH_SECONDS = 5.0
 LONG_WATCH_SECONDS = 25.0
-#: The same for the first watch after one that ended badly. The store may just be dropping
-#: its history, and a watch that begins in that moment can miss what came before it.
+#: The same for the first watch after one that failed. The store may be dropping its history, and a
+#: watch that starts while it does can miss earlier changes.
 CAUTIOUS_WATCH_SECONDS = 0.4
 
 
 class KindFollower:
-    """Keeps up with the objects of a kind; lists anew whenever the history is lost.
+    """Lists and watches the objects of a kind; lists them again if the history has expired.
 
     :param on_list: called with all objects after each list.
     :param on_change: called with each change after that.
     :param on_read: called with the revision after each list and each answer to a watch.
-    :param on_verified: called after those with the moment of the monotonic clock, if one is
-        known, at which nothing newer had been acknowledged.
-    :param pause_s: seconds to wait after changes before the next ones are asked for.
-    :param watch_s: the longest that one watch waits.
-    :param max_retry_s: the longest pause before a failed read is tried again.
+    :param on_verified: called after those with the time by the monotonic clock, if known, at which
+        nothing newer had been acknowledged.
+    :param pause_s: seconds between received changes and the next watch.
+    :param watch_s: the longest wait of a watch in seconds.
+    :param max_retry_s: the longest pause before a failed read is retried.
     :param allow_stale: whether lists may be some seconds old.
-    :ivar has_listed: whether the objects were listed once.
+    :ivar has_listed: whether the objects have been listed at least once.
     """
 
     def __init__(
@@ -82,34 +82,34 @@
         self._allow_stale = allow_stale
         self._on_proved = on_verified
         self._running: Any = None
-        self._is_cautious = False
-        self._must_list = False
+        self._is_next_watch_short = False
+        self._must_relist = False
         self._failures = 0
         self.has_listed = False
 
     def start(self) -> None:
-        """Begin to follow."""
+        """Start following."""
         self._running = eventlet.spawn(self._run)
 
     def stop(self) -> None:
-        """Follow no more."""
+        """Stop following."""
         if self._running is not None:
             self._running.kill()
 
     def shorten_next_watch(self) -> None:
-        """Let the next watch wait shortly, for the store may be dropping its history."""
-        self._is_cautious = True
+        """Give the next watch a short wait, since the store may be dropping its history."""
+        self._is_next_watch_short = True
 
     def relist(self) -> None:
-        """Trust the watch no more: it told nothing of a change that is known to have been."""
-        self._must_list = True
+        """Interrupt the watch, which missed a known change, and list the objects again."""
+        self._must_relist = True
         self._store.interrupt_watches(kind=self._kind)
 
     def _run(self) -> None:
         revision: int | None = None
         while True:
-            if self._must_list:
-                self._must_list = False
+            if self._must_relist:
+                self._must_relist = False
                 revision = None
             try:
                 revision = self._list() if revision is None else self._watch(revision)
@@ -117,17 +117,17 @@
             except HistoryExpiredError:
                 revision = None
             except WatchInterruptedError:
-                # The history still has what a watch missed that was lost meanwhile.
-                self._is_cautious = True
+                # The history still holds the changes that the interrupted watch missed.
+                self._is_next_watch_short = True
                 eventlet.sleep(0)
             except ObjectStoreError as error:
-                # A watch that ended badly may have missed changes that the history
-                # still has; only a forgotten history needs a list.
-                self._is_cautious = True
+                # The history still holds the changes that the failed watch missed; only an expired
+                # history needs a list.
+                self._is_next_watch_short = True
                 self._note_down(error)
                 self._store.wait_for_recovery(self._retry_pause_s())
             except (AttributeError, LookupError, RecursionError, TypeError, ValueError) as error:
-                # An object that cannot be read must not end the following of all others.
+                # One unreadable object must not stop the following of all others.
                 revision = None
                 self._note_down(error)
                 eventlet.sleep(self._retry_pause_s())
@@ -143,9 +143,13 @@
         return listing.revision
 
     def _watch(self, revision: int) -> int:
-        wait_s = min(CAUTIOUS_WATCH_SECONDS, self._watch_s) if self._is_cautious else self._watch_s
+        wait_s = (
+            min(CAUTIOUS_WATCH_SECONDS, self._watch_s)
+            if self._is_next_watch_short
+            else self._watch_s
+        )
         found = self._store.watch(self._kind, revision, wait_s)
-        self._is_cautious = False
+        self._is_next_watch_short = False
         for change in found.changes:
             self._on_change(change)
         self._on_read(found.revision)
@@ -158,8 +162,8 @@
     def _retry_pause_s(self) -> float:
         most_s = self._max_retry_s if self.has_listed else MAX_FIRST_RETRY_SECONDS
         pause = doubled_s(RETRY_SECONDS, most_s, self._failures - 1)
-        spread = 0.75 + 0.5 * fraction(self._kind, str(self._failures))
-        return pause * spread
+        jitter = 0.75 + 0.5 * fraction(self._kind, str(self._failures))
+        return pause * jitter
 
     def _note_up(self) -> None:
         if self._failures:
--- a/yarrowwall/watching/freshness_probe.py
+++ b/yarrowwall/watching/freshness_probe.py
@@ -1,4 +1,4 @@
-"""A gateway's own questions for the configuration, where no reader vouches for its age."""
+"""Queries the store for a gateway's configuration when no reader can verify its age."""
 
 from collections.abc import Callable
 
@@ -17,22 +17,22 @@
     WatchInterruptedError,
 )
 
-#: Seconds between looks at the age.
+#: Seconds between checks of the age.
 AGE_CHECK_SECONDS = 0.25
-#: Seconds that an answer may take.
+#: Timeout of a query in seconds.
 ANSWER_SECONDS = 0.8
-#: Seconds between own questions, doubled up to the most while none is answered: in an outage
-#: all gateways ask, and calls are limited and paid for. The next one is sent beside those that
-#: wait, for they may have been lost: so a gateway that no reader tells anything knows of a
-#: store that is back 1.6 s later at most, not after a time-out and a look more (2.9 s).
+#: Seconds between two queries, doubled up to the maximum while none is answered: in an outage all
+#: gateways query the store, and calls are rate-limited and billed. Queries don't wait for earlier
+#: ones, which may have been lost: a gateway without a reader notices the recovery of the store
+#: within 1.6 s, instead of the 2.9 s that a timeout and another check would take.
 PAUSE_SECONDS = 0.4
 MAX_PAUSE_SECONDS = 1.6
 
 
 class FreshnessProbe:
-    """Asks the store once the age of the configuration is beyond what readers explain.
+    """Queries the store once the configuration is older than working readers would leave it.
 
-    :param take: called with the configuration's object before its proof counts.
+    :param on_configuration: called with the configuration's object before its age is updated.
     :param now: the monotonic clock.
     """
 
@@ -42,35 +42,35 @@
         store: ReadableStore,
         target: ObjectName,
         freshness: Freshness,
-        take: Callable[[StoredObject], None],
+        on_configuration: Callable[[StoredObject], None],
         log: DecisionLog,
         now: Callable[[], float],
     ) -> None:
         self._store = store
         self._target = target
         self._freshness = freshness
-        self._take = take
+        self._on_configuration = on_configuration
         self._log = log
         self._now = now
         self._unanswered = 0
         self._is_known_down = False
-        # All gateways lose their readers at the same moment.
-        self._own_look_s = AGE_CHECK_SECONDS * (1.0 + fraction("probe", node_id))
+        # Spreads the queries of gateways that lose their readers at the same time.
+        self._check_interval_s = AGE_CHECK_SECONDS * (1.0 + fraction("probe", node_id))
 
     def start(self) -> None:
-        """Begin to look at the age."""
+        """Start checking the age."""
         eventlet.spawn_n(self._run)
 
     def _run(self) -> None:
         while True:
-            eventlet.sleep(self._own_look_s)
+            eventlet.sleep(self._check_interval_s)
             while self._freshness.is_worth_asking(self._now()):
                 self._unanswered += 1
-                eventlet.spawn_n(self._ask)
+                eventlet.spawn_n(self._query)
                 pause_s = doubled_s(PAUSE_SECONDS, MAX_PAUSE_SECONDS, self._unanswered - 1)
                 eventlet.sleep(pause_s)
 
-    def _ask(self) -> None:
+    def _query(self) -> None:
         sent_at_s = self._now()
         try:
             item = self._store.get(*self._target, ANSWER_SECONDS)
@@ -82,18 +82,18 @@
         self._unanswered = 0
         self._note_up()
         if item is not None:
-            self._take(item)
+            self._on_configuration(item)
             self._freshness.note_proved(sent_at_s)
 
     def _note_down(self, error: ObjectStoreError) -> None:
         if not self._is_known_down:
             self._is_known_down = True
-            self._note(is_up=False, reason=str(error))
+            self._log_change(is_up=False, reason=str(error))
 
     def _note_up(self) -> None:
         if self._is_known_down:
             self._is_known_down = False
-            self._note(is_up=True, reason="")
+            self._log_change(is_up=True, reason="")
 
-    def _note(self, is_up: bool, reason: str) -> None:
+    def _log_change(self, is_up: bool, reason: str) -> None:
         self._log.write(decisions.DependencyChanged(f"proof/{self._target.kind}", is_up, reason))
--- a/yarrowwall/watching/monitored_store.py
+++ b/yarrowwall/watching/monitored_store.py
@@ -1,4 +1,4 @@
-"""The platform's store, with whether it answers: what was begun before an outage ends with it."""
+"""Tracks whether the platform store answers, and ends watches that an outage may have cut."""
 
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
@@ -20,12 +20,12 @@
 
 
 class MonitoredStore:
-    """Reads the store, and knows whether it answers.
+    """Reads from the store and tracks whether it answers.
 
-    :param direct: the store itself.
+    :param direct: the client of the store.
     :param now: the monotonic clock.
-    :param on_lost: called once a failure shows that the store does not answer.
-    :param on_back: called once it answers again.
+    :param on_lost: called at the first failure after an answer.
+    :param on_recovered: called at the first answer after a failure.
     """
 
     def __init__(
@@ -33,29 +33,29 @@
         direct: ReadableStore,
         now: Callable[[], float],
         on_lost: Callable[[], None] = lambda: None,
-        on_back: Callable[[], None] = lambda: None,
+        on_recovered: Callable[[], None] = lambda: None,
     ) -> None:
         self._direct = direct
         self._now = now
         self._on_lost = on_lost
-        self._on_back = on_back
-        self._contact = StoreAvailability()
-        self._back = Event()
+        self._on_recovered = on_recovered
+        self._availability = StoreAvailability()
+        self._recovered = Event()
 
     @property
-    def is_out(self) -> bool:
-        """Return whether the store has been lost for more than a moment."""
-        return self._contact.is_out(self._now())
+    def is_unavailable(self) -> bool:
+        """Return whether the store has been failing for longer than the grace period."""
+        return self._availability.is_unavailable(self._now())
 
     def wait_for_recovery(self, seconds: float) -> None:
-        """Pause; until the store answers again at the longest, if it is lost."""
-        self._back.wait(seconds)
+        """Pause for some seconds, or until the store answers again after a failure."""
+        self._recovered.wait(seconds)
 
     @contextmanager
-    def _asking(self) -> Iterator[None]:
-        """Take in what becomes of the question that is asked within.
+    def _tracking(self) -> Iterator[None]:
+        """Record the outcome of the request that is sent within the context.
 
-        :raises WatchInterruptedError: instead of a silence that is no news.
+        :raises WatchInterruptedError: instead of a timeout that a later answer superseded.
         """
         sent_at_s = self._now()
         try:
@@ -66,7 +66,7 @@
             self._note_answered(sent_at_s)
             raise
         except StoreTimeoutError as error:
-            self._note_silence(sent_at_s, error)
+            self._note_timeout(sent_at_s, error)
             raise
         except ObjectStoreError:
             self._note_failed()
@@ -74,47 +74,47 @@
         self._note_answered(sent_at_s)
 
     def _note_answered(self, sent_at_s: float) -> None:
-        if not self._contact.note_answered(sent_at_s):
+        if not self._availability.note_answered(sent_at_s):
             return
-        self._end_doubted(sent_at_s)
-        back, self._back = self._back, Event()
-        back.send()
-        self._on_back()
-
-    def _note_silence(self, sent_at_s: float, error: StoreTimeoutError) -> None:
-        # Connections may fall silent for good while new ones work.
-        self._end_doubted(sent_at_s)
-        if self._contact.is_overtaken(sent_at_s):
-            raise WatchInterruptedError(f"overtaken: {error}") from error
+        self._interrupt_older_watches(sent_at_s)
+        recovered, self._recovered = self._recovered, Event()
+        recovered.send()
+        self._on_recovered()
+
+    def _note_timeout(self, sent_at_s: float, error: StoreTimeoutError) -> None:
+        # Established connections may be dead for good while new ones work.
+        self._interrupt_older_watches(sent_at_s)
+        if self._availability.is_superseded(sent_at_s):
+            raise WatchInterruptedError(f"a later request was answered: {error}") from error
         self._note_failed()
 
-    def _end_doubted(self, opened_before_s: float) -> None:
-        """End watches that may be lost: they would say nothing until their waits are over."""
+    def _interrupt_older_watches(self, opened_before_s: float) -> None:
+        """Interrupt watches that may be lost: they would return nothing until their waits end."""
         self._direct.interrupt_watches(opened_before_s)
 
     def _note_failed(self) -> None:
-        if self._contact.note_failed(self._now()):
+        if self._availability.note_failed(self._now()):
             self._on_lost()
 
-    # The store's own
+    # Reads
 
     def list(self, kind: str, timeout_s: float, allow_stale: bool = False) -> Listing:
         """Return all objects of a kind."""
-        with self._asking():
+        with self._tracking():
             return self._direct.list(kind, timeout_s, allow_stale)
 
     def watch(self, kind: str, revision: int, wait_s: float) -> Changes:
-        """Wait for changes after a revision; none if nothing happened for a while."""
-        with self._asking():
+        """Return the changes after a revision; none if there was no change within the wait."""
+        with self._tracking():
             return self._direct.watch(kind, revision, wait_s)
 
     def interrupt_watches(
         self, opened_before_s: float = float("inf"), kind: str | None = None
     ) -> None:
-        """End waiting watches."""
+        """Interrupt watches that are waiting."""
         self._direct.interrupt_watches(opened_before_s, kind)
 
     def get(self, kind: str, name: str, timeout_s: float) -> StoredObject | None:
-        """Return an object as it stands now; None if there is none."""
-        with self._asking():
+        """Return the current state of an object; None if there is none."""
+        with self._tracking():
             return self._direct.get(kind, name, timeout_s)
--- a/yarrowwall/watching/object_cache.py
+++ b/yarrowwall/watching/object_cache.py
@@ -1,4 +1,4 @@
-"""The objects of one kind as a reader knows them, and how they came about. No I/O."""
+"""Cache of the objects of one kind and of their latest changes. No I/O."""
 
 from collections import deque
 from collections.abc import Sequence
@@ -6,15 +6,15 @@
 
 from yarrowwall.ports.object_store import Change, Changes, Listing, StoredObject
 
-#: Batches of changes that are remembered. The kinds that change often do so about twice a
-#: second (the pause between two questions is 0.4 s), so this is some twenty seconds.
+#: Number of batches of changes that are kept. Kinds that change often yield about two batches a
+#: second, since there are 0.4 s between two watches, so this covers some twenty seconds.
 MAX_BATCHES = 64
 
 
 class Batch(NamedTuple):
-    """Changes that came together.
+    """Changes that one answer of the store contained.
 
-    :param revision: the store's revision that they lead to.
+    :param revision: the store's revision after them.
     """
 
     changes: Sequence[Change]
@@ -22,10 +22,10 @@
 
 
 class ObjectCache:
-    """All objects of a kind, and the latest changes of them.
+    """The objects of one kind, and their latest changes.
 
-    :ivar oldest_revision: the revision since which every change is remembered.
-    :ivar revision: the newest revision that is known; 0 before the first list.
+    :ivar oldest_revision: the revision after which all changes are kept.
+    :ivar revision: the newest cached revision; 0 before the first list.
     """
 
     def __init__(self) -> None:
@@ -35,13 +35,13 @@
         self.revision = 0
 
     def replace_all(self, items: Sequence[StoredObject], revision: int) -> None:
-        """Take in a list; what changed before it is forgotten."""
+        """Replace all objects and drop the changes before them."""
         self._items = {item.name: item for item in items}
         self._batches.clear()
         self.oldest_revision = self.revision = revision
 
-    def take(self, changes: Sequence[Change], revision: int) -> None:
-        """Take in the changes that lead from the newest known revision to another one."""
+    def apply(self, changes: Sequence[Change], revision: int) -> None:
+        """Apply the changes from the newest cached revision to another one."""
         for change in changes:
             if change.is_gone:
                 self._items.pop(change.item.name, None)
@@ -54,7 +54,7 @@
         self.revision = max(self.revision, revision)
 
     def revision_of(self, name: str) -> int:
-        """Return the revision of an object's last change; 0 if there is no such object."""
+        """Return the revision of an object's last change; 0 if it does not exist."""
         item = self._items.get(name)
         return item.revision if item is not None else 0
 
@@ -63,10 +63,10 @@
         return Listing(list(self._items.values()), self.revision)
 
     def changes_since(self, revision: int) -> Changes | None:
-        """Return what changed after a revision; None if that is forgotten.
+        """Return the changes after a revision; None if they are no longer kept.
 
-        The first changes may be some that the asker knows already, for a batch is given whole.
-        Taken in their order they lead to the same state all the same.
+        Batches are returned whole, so the first changes may be known to the client already.
+        Applied in order they lead to the same state.
         """
         if revision < self.oldest_revision:
             return None
@@ -76,5 +76,5 @@
             if batch.revision > revision
             for change in batch.changes
         ]
-        # An asker may have come further elsewhere, in a kind that has not changed since.
+        # The client may have read a later revision elsewhere, if the kind has not changed since.
         return Changes(found, max(self.revision, revision))
--- a/yarrowwall/watching/object_verifier.py
+++ b/yarrowwall/watching/object_verifier.py
@@ -1,4 +1,4 @@
-"""Asks the store for one object again and again, to know until when its state was the newest."""
+"""Reads one object periodically to verify that its known state is the newest."""
 
 from collections.abc import Callable
 from typing import Any
@@ -16,30 +16,31 @@
 )
 from yarrowwall.watching.verified_state import VerifiedState
 
-#: Seconds from one question to the next. Each answer is passed on at once to all who wait for
-#: a change (a question of theirs waits 1 s), so what they know is proved about 0.9 s ago at most
-#: while all is well. Asking more often costs calls and refuses no fewer callers for age.
+#: Seconds between two reads. Each answer is passed on at once to all clients that wait for a change
+#: (for up to 1 s), so in normal operation their state was verified at most about 0.9 s ago. Shorter
+#: intervals cost more calls and do not reduce the number of callers refused for age.
 VERIFY_SECONDS = 0.9
-#: Seconds that an answer may take: several times what a slow store takes.
+#: Timeout of a read in seconds: several times what a slow store takes.
 ANSWER_SECONDS = 1.0
-#: Seconds without an answer after which the next question is sent beside those that wait. The
-#: first one that comes back ends an outage for a whole zone, so no time-out is waited for; it is
-#: half of the time in which callers' tries are to find a proof again.
+#: Seconds without an answer after which another read is sent concurrently. The first answer ends an
+#: outage for a whole zone, so reads don't wait for timeouts. It is half of the time within which
+#: callers' retries should find a verified configuration again.
 RESEND_SECONDS = 0.15
-#: Seconds within which a watch has to tell of a change that an answer has shown. It is told at
-#: the moment of the change, so a watch that says nothing by then is lost: waiting for its end
-#: would take 3.5 s, and a configuration has 2 s to be in force everywhere.
+#: Seconds within which a watch must return a change that a read has shown. Watches return changes
+#: immediately, so a watch that is later than this is lost. Waiting for its end would take 3.5 s,
+#: but a configuration must take effect everywhere within 2 s.
 WATCH_LAG_SECONDS = 0.1
-#: Questions without an answer, one after the other, after which the log says so.
-LOST_ANSWERS = 2
+#: Consecutive failed reads after which the failure is logged.
+FAILURES_LOGGED = 2
 
 
 class ObjectVerifier:
-    """Keeps the proof of one object's state.
+    """Verifies the known state of one object by reading it periodically.
 
     :param now: the monotonic clock.
-    :param on_verified: called once a newer moment is proved.
-    :param on_stale: called if the watches do not tell soon of what was just read.
+    :param on_verified: called after each answer that verifies the known state.
+    :param on_stale: called if the watches don't return a state soon after it was read.
+    :ivar state: the known state; the owner reports the revisions that its watches return.
     """
 
     def __init__(
@@ -59,43 +60,43 @@
         self._on_stale = on_stale
         self._failures = 0
         self._running: Any = None
-        self._next = Event()
+        self._read_now = Event()
         self.state = VerifiedState()
 
     def start(self) -> None:
-        """Begin to ask."""
+        """Start reading periodically."""
         self._running = eventlet.spawn(self._run)
 
     def stop(self) -> None:
-        """Ask no more."""
+        """Stop reading."""
         if self._running is not None:
             self._running.kill()
 
-    def ask_soon(self) -> None:
-        """Ask at once: something else was not answered."""
-        if not self._next.ready():
-            self._next.send()
+    def read_now(self) -> None:
+        """Read at once, because another request got no answer."""
+        if not self._read_now.ready():
+            self._read_now.send()
 
     def _run(self) -> None:
         while True:
             next_s = self._now() + VERIFY_SECONDS
             answered = Event()
-            eventlet.spawn_n(self._ask, answered)
+            eventlet.spawn_n(self._read, answered)
             answered.wait(RESEND_SECONDS)
             if answered.ready() and not self._failures:
-                self._next.wait(max(next_s - self._now(), 0.0))
+                self._read_now.wait(max(next_s - self._now(), 0.0))
             elif answered.ready():
                 eventlet.sleep(RESEND_SECONDS)
-            self._next = Event()
+            self._read_now = Event()
 
-    def _ask(self, answered: Event) -> None:
+    def _read(self, answered: Event) -> None:
         sent_at_s = self._now()
         try:
-            self._take_answer(sent_at_s)
+            self._compare(sent_at_s)
         finally:
             answered.send()
 
-    def _take_answer(self, sent_at_s: float) -> None:
+    def _compare(self, sent_at_s: float) -> None:
         try:
             item = self._store.get(*self.target, ANSWER_SECONDS)
         except WatchInterruptedError:
@@ -111,19 +112,19 @@
             self._on_proved()
 
     def _expect_change(self) -> None:
-        """Let the watches be given up unless they tell soon of what was just read."""
+        """Report the watches as stale unless they return the state that was read soon."""
         eventlet.sleep(WATCH_LAG_SECONDS)
         if self.state.is_stale:
             self._on_stale()
 
     def _note_answered(self) -> None:
-        if self._failures >= LOST_ANSWERS:
+        if self._failures >= FAILURES_LOGGED:
             self._log.write(decisions.DependencyChanged(self._dependency, True, ""))
         self._failures = 0
 
     def _note_failed(self, error: ObjectStoreError) -> None:
         self._failures += 1
-        if self._failures == LOST_ANSWERS:
+        if self._failures == FAILURES_LOGGED:
             self._log.write(decisions.DependencyChanged(self._dependency, False, str(error)))
 
     @property
--- a/yarrowwall/watching/reader.py
+++ b/yarrowwall/watching/reader.py
@@ -1,7 +1,7 @@
-"""Follows kinds of the platform's store for other machines, as long as they ask.
+"""Follows kinds of the platform store on behalf of other machines, as long as they ask.
 
-Nobody is chosen for this: all machines of a zone ask the same ones in the same order
-(:mod:`yarrowwall.watching.reader_selection`), and a machine that is asked begins to follow.
+Readers are not elected: all machines of a zone ask the same ones in the same order
+(:mod:`yarrowwall.watching.reader_selection`), and a machine that is asked starts to follow.
 """
 
 from collections.abc import Callable
@@ -25,27 +25,27 @@
 from yarrowwall.watching.object_verifier import ObjectVerifier
 from yarrowwall.watching.wire import ObjectEncoder
 
-#: Seconds for which a question waits for the reader's own first list. A list takes 0.01 s if
-#: the store answers at once; beyond this the asker had better try another reader.
+#: Seconds for which a request waits for the reader's own first list. A list takes 0.01 s if the
+#: store answers at once; after this time the client should try another reader.
 FIRST_LIST_SECONDS = 0.4
-#: Seconds that a watch of the prompt kind waits. Watches can be lost while all else is answered;
-#: then they say nothing until their waits are over. The short one tells for the others, whose
-#: waits are 25 s, after 3.5 s.
+#: Wait of a watch of the verified object's kind. Watches can be lost while other requests are
+#: answered; they return nothing until their waits are over. This short watch reveals within 3.5 s
+#: that the others, which wait for 25 s, may be lost too.
 SHORT_WATCH_SECONDS = 2.0
-#: Seconds without a question after which a kind is no longer followed.
+#: Seconds without a request after which a kind is no longer followed.
 IDLE_SECONDS = 8.0
-#: Seconds before a failed read of the store is tried again at most, if nothing shows before
-#: that it answers: one question in an outage finds that out for all kinds.
+#: Maximum seconds before a failed read of the store is retried. An answer to any other request ends
+#: the pause: in an outage one request finds out for all kinds that the store has recovered.
 MAX_RETRY_SECONDS = 2.0
 
 _OUT_OF_CONTACT = ObjectsReply(ObjectsStatus.OUT_OF_CONTACT, [], 0, None)
 _FORGOTTEN = ObjectsReply(ObjectsStatus.FORGOTTEN, [], 0, None)
-#: Called with the reply to a question.
+#: Called with the reply to a request.
 Reply = Callable[[ObjectsReply], None]
 
 
-class _Question:
-    """A question that waits for its answer.
+class _WaitingRequest:
+    """A request that waits for its reply.
 
     :param arrived_at_s: when it arrived.
     :ivar timer: ends the wait.
@@ -61,11 +61,12 @@
 
 
 class FollowedKind:
-    """One kind of objects that is followed, and the questions about it.
+    """Follows one kind of objects and answers the requests for it.
 
-    :param watch_s: the longest that one watch at the store waits.
-    :param pause_s: seconds after changes before the next ones are asked for.
-    :param is_out: returns whether the store has not answered for more than a moment.
+    :param watch_s: the longest wait of a watch at the store in seconds.
+    :param pause_s: seconds between received changes and the next watch.
+    :param is_unavailable: returns whether the store has been failing for longer than the grace
+        period.
     :param verified_name: name of the object whose state is verified to be the newest.
     """
 
@@ -77,24 +78,24 @@
         pause_s: float,
         log: DecisionLog,
         now: Callable[[], float],
-        is_out: Callable[[], bool],
+        is_unavailable: Callable[[], bool],
         verified_name: str | None = None,
     ) -> None:
         self._now = now
-        self._is_out = is_out
+        self._is_unavailable = is_unavailable
         self._cache = ObjectCache()
         self._encoder = ObjectEncoder()
-        self._listed: list[StoredObject] | None = None
-        self._changed: list[Change] = []
-        self._waiting: dict[int, _Question] = {}
-        self.asked_at = now()
+        self._new_list: list[StoredObject] | None = None
+        self._new_changes: list[Change] = []
+        self._waiting: dict[int, _WaitingRequest] = {}
+        self.requested_at = now()
         self._follower = KindFollower(
             store,
             kind,
-            self._note_list,
-            self._changed.append,
+            self._on_list,
+            self._new_changes.append,
             log,
-            self._take_read,
+            self._on_read,
             pause_s=pause_s,
             watch_s=watch_s,
             max_retry_s=MAX_RETRY_SECONDS,
@@ -104,139 +105,137 @@
         if verified_name is not None:
             target = ObjectName(kind, verified_name)
             self._verifier = ObjectVerifier(
-                store, target, log, now, self._note_verified, self._follower.relist
+                store, target, log, now, self._on_verified, self._follower.relist
             )
             self._verifier.start()
 
     @property
     def is_in_use(self) -> bool:
-        """Return whether somebody waits for it or asked lately."""
-        return bool(self._waiting) or self._now() - self.asked_at < IDLE_SECONDS
+        """Return whether a request waits for this kind or arrived lately."""
+        return bool(self._waiting) or self._now() - self.requested_at < IDLE_SECONDS
 
     def stop(self) -> None:
-        """Follow no more."""
+        """Stop following."""
         self._follower.stop()
         if self._verifier is not None:
             self._verifier.stop()
 
     def note_lost(self) -> None:
-        """Find out soon whether the store answers: it did not answer a question."""
+        """Shorten the next watch and read at once, since a request to the store has failed."""
         self._follower.shorten_next_watch()
         if self._verifier is not None:
-            self._verifier.ask_soon()
+            self._verifier.read_now()
 
-    def note_out(self) -> None:
-        """Let whoever waits find a reader that still hears of changes."""
+    def note_unavailable(self) -> None:
+        """Tell waiting clients that the store is unavailable, so that they ask another reader."""
         if self._cache.revision:
             self._answer_waiting()
 
     def ask(self, request: ListObjects | WatchObjects, reply: Reply) -> None:
-        """Answer a question at once or later."""
-        self.asked_at = self._now()
-        question = _Question(request, reply, self.asked_at)
-        answer = self._answer(question, is_over=False)
+        """Answer a request, at once or later."""
+        self.requested_at = self._now()
+        waiting = _WaitingRequest(request, reply, self.requested_at)
+        answer = self._answer(waiting, must_answer=False)
         if answer is not None:
             reply(answer)
             return
-        self._waiting[id(question)] = question
-        question.timer = eventlet.spawn_after(self._wait_s(request), self._end_wait, question)
+        self._waiting[id(waiting)] = waiting
+        waiting.timer = eventlet.spawn_after(self._wait_s(request), self._end_wait, waiting)
 
     def _wait_s(self, request: ListObjects | WatchObjects) -> float:
         if not self._cache.revision or isinstance(request, ListObjects):
             return FIRST_LIST_SECONDS
         return request.wait_s
 
-    def _answer(self, question: _Question, is_over: bool) -> ObjectsReply | None:
-        """Return the answer to a question; None if it has to wait.
+    def _answer(self, waiting: _WaitingRequest, must_answer: bool) -> ObjectsReply | None:
+        """Return the reply to a request; None if it has to wait.
 
-        :param is_over: whether it waits no longer.
+        :param must_answer: whether the request may not wait any longer.
         """
-        request = question.request
+        request = waiting.request
         if not self._cache.revision:
-            return _OUT_OF_CONTACT if is_over else None
-        if self._is_out():
-            return None if _is_kept(request) and not is_over else _OUT_OF_CONTACT
+            return _OUT_OF_CONTACT if must_answer else None
+        if self._is_unavailable():
+            return None if _waits_for_recovery(request) and not must_answer else _OUT_OF_CONTACT
         if isinstance(request, ListObjects):
-            return self._list(request, question, is_over)
+            return self._list(request, waiting, must_answer)
         found = self._cache.changes_since(request.revision)
         if found is None:
             return _FORGOTTEN
         is_waiting = request.wait_s > 0.0 and not request.is_look
-        if not found.changes and is_waiting and not is_over:
+        if not found.changes and is_waiting and not must_answer:
             return None
         objects = [self._encoder.encode_change(change) for change in found.changes]
-        return self._reply(question, objects, found.revision)
+        return self._reply(waiting, objects, found.revision)
 
     def _reply(
-        self, question: _Question, objects: list[RelayedObject], revision: int
+        self, waiting: _WaitingRequest, objects: list[RelayedObject], revision: int
     ) -> ObjectsReply:
-        """Return objects, with the moment for which their state is proved."""
+        """Return a reply with objects and the time as of which their state is verified."""
         verified_at_s = self._verifier.state.verified_at_s if self._verifier is not None else None
-        proved_after_s = (
-            verified_at_s - question.arrived_at_s if verified_at_s is not None else None
-        )
+        proved_after_s = verified_at_s - waiting.arrived_at_s if verified_at_s is not None else None
         return ObjectsReply(ObjectsStatus.OK, objects, revision, proved_after_s)
 
     def _list(
-        self, request: ListObjects, question: _Question, is_over: bool
+        self, request: ListObjects, waiting: _WaitingRequest, must_answer: bool
     ) -> ObjectsReply | None:
         listing = self._cache.listing()
         if listing.revision < request.least_revision:
-            return _OUT_OF_CONTACT if is_over else None
+            return _OUT_OF_CONTACT if must_answer else None
         objects = [self._encoder.encode(item) for item in listing.items]
-        return self._reply(question, objects, listing.revision)
+        return self._reply(waiting, objects, listing.revision)
 
-    def _end_wait(self, question: _Question) -> None:
-        if self._waiting.pop(id(question), None) is None:
+    def _end_wait(self, waiting: _WaitingRequest) -> None:
+        if self._waiting.pop(id(waiting), None) is None:
             return
-        self.asked_at = self._now()
-        # A change may have come that others are just being told of.
-        answer = self._answer(question, is_over=True)
-        question.reply(answer or _OUT_OF_CONTACT)
-
-    # What the store tells
-
-    def _note_list(self, items: list[StoredObject]) -> None:
-        self._listed = items
-
-    def _take_read(self, revision: int) -> None:
-        """Take in all that one answer of the store brought."""
-        if self._listed is not None:
-            self._cache.replace_all(self._listed, revision)
-            self._listed = None
-        self._cache.take(list(self._changed), revision)
-        self._changed.clear()
+        self.requested_at = self._now()
+        # A change may have arrived that is still being sent to the requests before this one.
+        answer = self._answer(waiting, must_answer=True)
+        waiting.reply(answer or _OUT_OF_CONTACT)
+
+    # Updates from the store
+
+    def _on_list(self, items: list[StoredObject]) -> None:
+        self._new_list = items
+
+    def _on_read(self, revision: int) -> None:
+        """Apply all objects and changes of one answer of the store."""
+        if self._new_list is not None:
+            self._cache.replace_all(self._new_list, revision)
+            self._new_list = None
+        self._cache.apply(list(self._new_changes), revision)
+        self._new_changes.clear()
         if self._verifier is not None:
             name = self._verifier.target.name
             self._verifier.state.note_known(self._cache.revision_of(name))
         self._answer_waiting()
 
-    def _note_verified(self) -> None:
-        """Let all who wait know that what they have was the newest a moment ago."""
+    def _on_verified(self) -> None:
+        """Answer all waiting clients, since their state has just been verified to be the newest."""
         if self._cache.revision:
-            self._answer_waiting(is_over=True)
+            self._answer_waiting(must_answer=True)
 
-    def _answer_waiting(self, is_over: bool = False) -> None:
-        for key, question in list(self._waiting.items()):
-            answer = self._answer(question, is_over)
-            # Cancelling and answering let others run, whose waits may end meanwhile.
+    def _answer_waiting(self, must_answer: bool = False) -> None:
+        for key, waiting in list(self._waiting.items()):
+            answer = self._answer(waiting, must_answer)
+            # Cancelling and replying may switch greenthreads, and other waits may end meanwhile.
             if answer is not None and self._waiting.pop(key, None) is not None:
-                question.timer.cancel()
-                question.reply(answer)
+                waiting.timer.cancel()
+                waiting.reply(answer)
 
 
-def _is_kept(request: ListObjects | WatchObjects) -> bool:
-    """Return whether a question waits for the store's return."""
+def _waits_for_recovery(request: ListObjects | WatchObjects) -> bool:
+    """Return whether a request is a health check that waits until the store recovers."""
     return isinstance(request, WatchObjects) and request.is_look and request.wait_s > 0.0
 
 
 class StoreReader:
-    """Answers other machines' questions about the store's objects.
+    """Answers requests of other machines for objects of the store.
 
-    :param store: the store, for this reader alone.
-    :param verified_object: an object that is read again and again, and whose kind is watched with
+    :param store: a client of the store that only this reader uses.
+    :param verified_object: an object that is read periodically, and whose kind is watched with
         short waits. Its kind is followed as long as any other is: a lost watch returns nothing
-        until its wait is over, so a failed short watch or read makes all watches start again.
+        until its wait is over, so all watches restart if a short watch or a read fails.
     :param now: the monotonic clock.
     """
 
@@ -254,15 +253,15 @@
         self._kinds: dict[str, FollowedKind] = {}
 
     def ask(self, request: ListObjects | WatchObjects, reply: Reply) -> None:
-        """Answer a question at once or later."""
-        self._follow(self._verified_object.kind)
-        self._follow(request.kind).ask(request, reply)
+        """Answer a request, at once or later."""
+        self._followed_kind(self._verified_object.kind)
+        self._followed_kind(request.kind).ask(request, reply)
 
-    def _follow(self, kind: str) -> FollowedKind:
-        """Return a kind that is followed from now on."""
+    def _followed_kind(self, kind: str) -> FollowedKind:
+        """Return the follower of a kind, which is started if necessary."""
         followed = self._kinds.get(kind)
         if followed is None:
-            # Each change of the prompt kind is asked for at once; it changes seldom.
+            # The verified object's kind changes seldom, so its changes are not coalesced.
             is_verified = kind == self._verified_object.kind
             followed = FollowedKind(
                 self._store,
@@ -271,7 +270,7 @@
                 0.0 if is_verified else COALESCE_SECONDS,
                 self._log,
                 self._now,
-                lambda: self._store.is_out,
+                lambda: self._store.is_unavailable,
                 self._verified_object.name if is_verified else None,
             )
             self._kinds[kind] = followed
@@ -280,15 +279,15 @@
     def _note_lost(self) -> None:
         for followed in self._kinds.values():
             followed.note_lost()
-        eventlet.spawn_after(GRACE_SECONDS, self._note_out)
+        eventlet.spawn_after(GRACE_SECONDS, self._note_unavailable)
 
-    def _note_out(self) -> None:
-        if self._store.is_out:
+    def _note_unavailable(self) -> None:
+        if self._store.is_unavailable:
             for followed in list(self._kinds.values()):
-                followed.note_out()
+                followed.note_unavailable()
 
     def stop_idle_kinds(self) -> None:
-        """Follow no more what nobody asked for lately."""
+        """Stop following kinds that have not been requested lately."""
         for kind, followed in list(self._kinds.items()):
             is_needed = kind == self._verified_object.kind and len(self._kinds) > 1
             if not followed.is_in_use and not is_needed:
--- a/yarrowwall/watching/relayed_reads.py
+++ b/yarrowwall/watching/relayed_reads.py
@@ -1,4 +1,4 @@
-"""Questions to readers that go through a neighbour while none answers this machine directly."""
+"""Reads that neighbours forward to store readers while no reader can be reached directly."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -13,171 +13,189 @@
 from yarrowwall.replication.exceptions import LinkDownError, NoNeighbourError
 from yarrowwall.watching.reader_selection import ReaderSelection
 
-#: Seconds without an answer of any reader, and without one that is relied on, after which
-#: neighbours are asked: longer than a reader without the store takes to say so, and than the next
-#: reader takes to answer, yet before the proof of the configuration is too old.
+#: Seconds without a direct answer of any reader, and seconds without a healthy reader, after which
+#: neighbours are asked. Both are longer than a reader without the store takes to say so and than
+#: the next reader takes to answer, and short enough to verify the configuration before it expires.
 NO_DIRECT_ANSWER_SECONDS = 1.0
 NO_HEALTHY_READER_SECONDS = 0.2
-#: Seconds between two tries while no neighbour brings an answer, doubled up to the most.
+#: Seconds between two probes while no neighbour returns an answer; doubled up to the maximum.
 PROBE_PAUSE_SECONDS = 0.5
 MAX_PROBE_PAUSE_SECONDS = 2.0
-#: Seconds between two questions for a kind by which the age of the configuration is known, and
-#: for any other. They don't wait at the reader, so they keep no place at a neighbour; with them a
-#: gateway's proof stays younger than the age from which it would ask the store itself.
+#: Seconds between two relayed reads of a kind that is read with short waits, such as the
+#: configuration, and of any other kind. Relayed reads never wait at the reader, so they don't hold
+#: one of the neighbour's forwarding slots. The short pause keeps the configuration younger than the
+#: age at which a gateway queries the store itself.
 SHORT_PAUSE_SECONDS = 0.3
 PAUSE_SECONDS = 1.0
 
-#: The ways to readers in the log.
+#: Names of the two paths to readers in the log.
 _DIRECT = "readers/direct"
 _RELAYED = "readers/relayed"
 
 
 class RequestForwarder(Protocol):
-    """Sends requests through neighbours."""
+    """Sends requests to machines through neighbours."""
 
     def call(self, address: str, message: object) -> object:
-        """Return a machine's reply.
+        """Return the reply of the machine at an address.
 
-        :raises LinkDownError: if the machine does not answer its neighbours either.
-        :raises NoNeighbourError: if no neighbour passes the request on.
+        :raises LinkDownError: if the machine does not answer the neighbours either.
+        :raises NoNeighbourError: if no neighbour forwards the request.
         """
 
 
 class RelayedReadOutcome(StrEnum):
-    """What became of a question that was to go through a neighbour."""
+    """Outcome of a relayed read."""
 
     ANSWERED = "answered"
-    #: The reader hears nothing from the store itself.
+    #: The reader answered that it cannot reach the store.
     OUT_OF_CONTACT = "out_of_contact"
-    #: The reader does not answer the neighbour either.
+    #: The reader did not answer the neighbour, or there was no reader to ask.
     NO_ANSWER = "no_answer"
-    #: No neighbour passed the question on.
+    #: No neighbour forwarded the request.
     NO_NEIGHBOUR = "no_neighbour"
 
 
 class RelayedReads:
-    """Asks readers through neighbours, and knows whether that is of use now.
+    """Asks readers through neighbours, and decides when that is worthwhile.
 
-    :param direct: the readers and what became of direct questions to them.
+    :param direct: the readers, with the failures of direct requests to them.
     :param now: the monotonic clock.
-    :ivar is_active: whether the last question that went this way was answered, and no reader
-        has answered directly since.
-    :ivar outcomes: how many questions had which outcome.
+    :ivar is_active: whether the last relayed read was answered and no reader has become healthy
+        since.
+    :ivar outcomes: number of relayed reads by outcome.
     """
 
     def __init__(self, direct: ReaderSelection, log: DecisionLog, now: Callable[[], float]) -> None:
         self._direct = direct
-        self._order = direct.with_separate_failures()
+        self._relayed = direct.with_separate_failures()
         self._log = log
         self._now = now
         self._forwarder: RequestForwarder | None = None
-        self._heard_s: float | None = None
-        self._unrelied_s = now()
-        self._is_relied = False
-        self._look_again_s = 0.0
-        self._failed_looks = 0
+        self._direct_answer_s: float | None = None
+        self._unhealthy_since_s = now()
+        self._has_healthy_reader = False
+        self._next_probe_s = 0.0
+        self._failed_probes = 0
         self._down: set[str] = set()
         self.is_active = False
         self.outcomes: Counter[str] = Counter()
 
     def set_forwarder(self, forwarder: RequestForwarder) -> None:
-        """Take what sends requests through neighbours; without it there is no detour."""
+        """Set the forwarder; without one no read is relayed."""
         self._forwarder = forwarder
 
-    # When it is of use
+    # Activation
 
     def note_direct_answer(self) -> None:
-        """Note that a reader answered directly, whatever it said."""
-        self._heard_s = self._now()
+        """Note that a reader answered directly, with whatever status."""
+        self._direct_answer_s = self._now()
 
     def note_no_healthy_reader(self) -> None:
-        """Note that no reader is relied on from now on."""
-        self._is_relied = False
-        self._unrelied_s = self._now()
+        """Note that no directly reachable reader is healthy any more."""
+        self._has_healthy_reader = False
+        self._unhealthy_since_s = self._now()
 
     def note_healthy_reader(self) -> None:
-        """Note that a reader is relied on: all questions go directly."""
-        self._is_relied = True
+        """Note that a directly reachable reader is healthy: stop relaying reads."""
+        self._has_healthy_reader = True
         self.is_active = False
-        self._failed_looks = 0
-        self._look_again_s = 0.0
-        self._note(_DIRECT, is_up=True)
-        self._note(_RELAYED, is_up=True)
+        self._failed_probes = 0
+        self._next_probe_s = 0.0
+        self._log_change(_DIRECT, is_up=True)
+        self._log_change(_RELAYED, is_up=True)
 
     def is_probe_due(self) -> bool:
-        """Return whether to look for a neighbour that reaches a reader.
+        """Return whether to probe for a neighbour that reaches a reader.
 
-        Not before a reader has answered once: at a start all readers may be starting too.
+        Never before a reader has answered directly: right after a start the readers may be
+        starting too.
         """
-        if self._forwarder is None or self._heard_s is None or self._is_relied or self.is_active:
+        if (
+            self._forwarder is None
+            or self._direct_answer_s is None
+            or self._has_healthy_reader
+            or self.is_active
+        ):
             return False
-        unheard_s = max(
-            self._heard_s + NO_DIRECT_ANSWER_SECONDS, self._unrelied_s + NO_HEALTHY_READER_SECONDS
+        due_s = max(
+            self._direct_answer_s + NO_DIRECT_ANSWER_SECONDS,
+            self._unhealthy_since_s + NO_HEALTHY_READER_SECONDS,
         )
-        return self._now() >= max(unheard_s, self._look_again_s)
+        return self._now() >= max(due_s, self._next_probe_s)
 
-    # Questions
+    # Reads
 
-    def probe(self, question: WatchObjects) -> None:
-        """Find out whether a reader can be asked this way."""
-        # Nobody else looks meanwhile, and an answer takes 0.7 s at most.
-        pause_s = doubled_s(PROBE_PAUSE_SECONDS, MAX_PROBE_PAUSE_SECONDS, self._failed_looks)
-        self._failed_looks += 1
-        self._look_again_s = self._now() + pause_s
-        self.ask(question)
+    def probe(self, request: WatchObjects) -> None:
+        """Send a relayed read to find out whether a reader can be reached this way."""
+        # Counted from the start of this probe, which takes up to 0.7 s, so that the next health
+        # check does not start another one at once.
+        pause_s = doubled_s(PROBE_PAUSE_SECONDS, MAX_PROBE_PAUSE_SECONDS, self._failed_probes)
+        self._failed_probes += 1
+        self._next_probe_s = self._now() + pause_s
+        self.ask(request)
 
-    def ask(self, question: ListObjects | WatchObjects) -> ObjectsReply | None:
-        """Return a reader's answer; None if it is of no use, and the detour is closed then."""
+    def ask(self, request: ListObjects | WatchObjects) -> ObjectsReply | None:
+        """Return a reader's answer; return None and stop relaying if there is no usable one."""
         if self._forwarder is None:
             return None
-        reader = next(iter(self._order.candidates(self._now())), None)
+        reader = next(iter(self._relayed.candidates(self._now())), None)
         if reader is None:
-            self._close(RelayedReadOutcome.NO_ANSWER, "all readers are passed over")
+            self._deactivate(RelayedReadOutcome.NO_ANSWER, "all readers are skipped after failures")
             return None
         try:
-            reply = self._forwarder.call(reader.address, question)
+            reply = self._forwarder.call(reader.address, request)
         except LinkDownError:
-            self._order.note_no_answer(reader.node_id, self._now())
-            self._close(RelayedReadOutcome.NO_ANSWER, f"{reader.node_id} answers no neighbour")
+            self._relayed.note_no_answer(reader.node_id, self._now())
+            self._deactivate(
+                RelayedReadOutcome.NO_ANSWER, f"{reader.node_id} does not answer through neighbours"
+            )
             return None
         except NoNeighbourError as error:
-            self._close(RelayedReadOutcome.NO_NEIGHBOUR, f"no neighbour passes it on: {error}")
+            self._deactivate(
+                RelayedReadOutcome.NO_NEIGHBOUR, f"no neighbour forwards the request: {error}"
+            )
             return None
-        return self._judge(reader, reply)
+        return self._handle_reply(reader, reply)
 
-    def _judge(self, reader: Member, reply: object) -> ObjectsReply | None:
+    def _handle_reply(self, reader: Member, reply: object) -> ObjectsReply | None:
         self._direct.note_answered_relayed(reader.node_id, self._now())
         if not isinstance(reply, ObjectsReply):
-            self._order.note_no_answer(reader.node_id, self._now())
-            self._close(RelayedReadOutcome.NO_ANSWER, f"{reader.node_id} told {reply!r:.100}")
+            self._relayed.note_no_answer(reader.node_id, self._now())
+            self._deactivate(
+                RelayedReadOutcome.NO_ANSWER,
+                f"unexpected reply from {reader.node_id}: {reply!r:.100}",
+            )
             return None
         if reply.status is ObjectsStatus.OUT_OF_CONTACT:
-            self._order.note_out_of_contact(reader.node_id, self._now())
-            reason = f"{reader.node_id} hears nothing from the store"
-            self._close(RelayedReadOutcome.OUT_OF_CONTACT, reason)
+            self._relayed.note_out_of_contact(reader.node_id, self._now())
+            reason = f"{reader.node_id} cannot reach the store"
+            self._deactivate(RelayedReadOutcome.OUT_OF_CONTACT, reason)
             return None
-        self._order.note_answered(reader.node_id)
-        self._open(reader)
+        self._relayed.note_answered(reader.node_id)
+        self._activate(reader)
         return reply
 
-    def _open(self, reader: Member) -> None:
+    def _activate(self, reader: Member) -> None:
         self.outcomes[RelayedReadOutcome.ANSWERED.value] += 1
-        self._failed_looks = 0
-        # A reader may have answered directly while this answer was on its way.
-        if self.is_active or self._is_relied:
+        self._failed_probes = 0
+        # A direct reader may have become healthy while this answer was under way.
+        if self.is_active or self._has_healthy_reader:
             return
         self.is_active = True
-        self._note(_DIRECT, is_up=False, reason=f"{reader.node_id} answers through neighbours")
-        self._note(_RELAYED, is_up=True)
+        self._log_change(
+            _DIRECT, is_up=False, reason=f"{reader.node_id} answers through neighbours"
+        )
+        self._log_change(_RELAYED, is_up=True)
 
-    def _close(self, outcome: RelayedReadOutcome, reason: str) -> None:
+    def _deactivate(self, outcome: RelayedReadOutcome, reason: str) -> None:
         self.outcomes[outcome.value] += 1
         if self.is_active:
             self.is_active = False
-            self._note(_RELAYED, is_up=False, reason=reason)
+            self._log_change(_RELAYED, is_up=False, reason=reason)
 
-    def _note(self, dependency: str, is_up: bool, reason: str = "") -> None:
-        """Write a line if a way was lost or is back."""
+    def _log_change(self, dependency: str, is_up: bool, reason: str = "") -> None:
+        """Log a path to the readers that was lost or has recovered."""
         if is_up != (dependency in self._down):
             return
         self._down ^= {dependency}
--- a/yarrowwall/watching/replies.py
+++ b/yarrowwall/watching/replies.py
@@ -1,4 +1,4 @@
-"""What the answers of readers tell. No I/O."""
+"""Interprets the replies of store readers. No I/O."""
 
 from collections.abc import Sequence
 
@@ -8,39 +8,45 @@
 
 
 def is_out_of_contact(reply: ObjectsReply | None) -> bool:
-    """Return whether a reader said that it hears nothing from the store."""
+    """Return whether a reader replied that it cannot reach the store."""
     return reply is not None and reply.status is ObjectsStatus.OUT_OF_CONTACT
 
 
 def listing_from_reply(reply: ObjectsReply, sent_at_s: float) -> Listing:
-    """Return the list that a reader told."""
+    """Return the listing in a reader's reply.
+
+    :param sent_at_s: when the request was sent, by the monotonic clock of this machine.
+    """
     items = [decode_object(item) for item in reply.objects]
-    return Listing(items, reply.revision, _proved_if_whole(reply, items, sent_at_s))
+    return Listing(items, reply.revision, _verified_if_readable(reply, items, sent_at_s))
 
 
-def changes_from_reply(reply: ObjectsReply, sent_at_s: float, way: str) -> Changes:
-    """Return the changes that a reader told.
+def changes_from_reply(reply: ObjectsReply, sent_at_s: float, source: str) -> Changes:
+    """Return the changes in a reader's reply.
 
-    :raises HistoryExpiredError: if it does not know them any more.
+    :param sent_at_s: when the request was sent, by the monotonic clock of this machine.
+    :param source: text that names the reader in the error.
+    :raises HistoryExpiredError: if the reader no longer keeps them.
     """
     if reply.status is ObjectsStatus.FORGOTTEN:
-        raise HistoryExpiredError(way)
+        raise HistoryExpiredError(source)
     found = decode_changes(reply.objects)
     items = [change.item for change in found]
-    return Changes(found, reply.revision, _proved_if_whole(reply, items, sent_at_s))
+    return Changes(found, reply.revision, _verified_if_readable(reply, items, sent_at_s))
 
 
-def _proved_if_whole(
+def _verified_if_readable(
     reply: ObjectsReply, items: Sequence[StoredObject], sent_at_s: float
 ) -> float | None:
-    """Return the moment for which a reader vouches; None if not all it told could be read."""
-    is_whole = all(item.is_readable for item in items)
-    return verified_at_s(reply, sent_at_s) if is_whole else None
+    """Return the time as of which a reply is verified; None if an object is unreadable."""
+    all_readable = all(item.is_readable for item in items)
+    return verified_at_s(reply, sent_at_s) if all_readable else None
 
 
 def verified_at_s(reply: ObjectsReply, sent_at_s: float) -> float | None:
-    """Return the moment of this machine's clock for which a reader vouches.
+    """Return the time as of which a reply is verified, by this machine's clock; None if unknown.
 
-    The reader counts it from the question's arrival, which was never before its sending.
+    The reader gives it relative to the arrival of the request. This machine adds it to the time of
+    sending, which is never later, so the result never makes a state look newer than it is.
     """
     return sent_at_s + reply.proved_after_s if reply.proved_after_s is not None else None
--- a/yarrowwall/watching/wire.py
+++ b/yarrowwall/watching/wire.py
@@ -1,4 +1,4 @@
-"""Objects of the store in messages between machines."""
+"""Encodes objects of the store in messages between machines, and decodes them."""
 
 import json
 import zlib
@@ -8,36 +8,36 @@
 from yarrowwall.messages.objects import RelayedObject
 from yarrowwall.ports.object_store import Change, StoredObject
 
-#: The fastest of zlib's levels: a configuration of 2,000 routes (600 KB) shrinks to less than a
-#: tenth, and goes to each machine of a zone.
+#: The fastest level of zlib. It shrinks a configuration of 2,000 routes (600 KB), which is sent to
+#: each machine of a zone, to less than a tenth.
 COMPRESSION_LEVEL = 1
 
 
 class _Encoded(NamedTuple):
-    """An object and how it travels."""
+    """An object and its encoding."""
 
     item: StoredObject
     encoded: RelayedObject
 
 
 class ObjectEncoder:
-    """Objects as they travel; the state last asked for is kept encoded, for many ask for it."""
+    """Encodes objects, and caches the encoding of each one's last state for further clients."""
 
     def __init__(self) -> None:
-        self._known: dict[str, _Encoded] = {}
+        self._cached: dict[str, _Encoded] = {}
 
     def encode(self, item: StoredObject) -> RelayedObject:
-        """Return an object as it travels."""
-        known = self._known.get(item.name)
-        if known is None or known.item is not item:
-            known = self._known[item.name] = _Encoded(item, _encoded(item, is_gone=False))
-        return known.encoded
+        """Return the encoding of an object."""
+        cached = self._cached.get(item.name)
+        if cached is None or cached.item is not item:
+            cached = self._cached[item.name] = _Encoded(item, _encoded(item, is_gone=False))
+        return cached.encoded
 
     def encode_change(self, change: Change) -> RelayedObject:
-        """Return a change as it travels."""
+        """Return the encoding of a change."""
         if not change.is_gone:
             return self.encode(change.item)
-        self._known.pop(change.item.name, None)
+        self._cached.pop(change.item.name, None)
         return _encoded(change.item, is_gone=True)
 
 
@@ -48,9 +48,10 @@
 
 
 def decode_object(found: RelayedObject) -> StoredObject:
-    """Return an object that travelled.
+    """Return a decoded object.
 
-    One whose content can't be read is empty: it must not take the others of its list with it.
+    If its content can't be read, an empty object is returned with ``is_readable`` unset, so that
+    one bad object does not discard the others of its list.
     """
     try:
         spec, status = json.loads(zlib.decompress(found.content))
@@ -62,5 +63,5 @@
 
 
 def decode_changes(found: Iterable[RelayedObject]) -> list[Change]:
-    """Return changes that travelled."""
+    """Return decoded changes."""
     return [Change(decode_object(one), one.is_gone) for one in found]
