--- a/features/steps/spent_budget_steps.py
+++ b/features/steps/spent_budget_steps.py
@@ -9,18 +9,18 @@
 from behave import given, then, when
 from behave.runner import Context
 
-from yarrowwall.budgets.budget_requests import wanted_by
-from yarrowwall.budgets.group_reach import PROBE_SECONDS, GroupReach
+from yarrowwall.budgets.budget_requests import claim_for
+from yarrowwall.budgets.group_reachability import PROBE_SECONDS, GroupReachability
 from yarrowwall.budgets.ledger import ReplicatedLedger
 from yarrowwall.budgets.reservations import Reservations
 from yarrowwall.budgets.zone_groups import ZoneGroups
 from yarrowwall.decisions import Decision
 from yarrowwall.event_stream import Event
-from yarrowwall.exceptions import BudgetExhaustedError, CallerGoneError, StoreUncertainError
+from yarrowwall.exceptions import BudgetExhaustedError, CallerDisconnectedError, StoreUncertainError
 from yarrowwall.gateway.exchange import Exchange
 from yarrowwall.messages.replicated import GroupView, Member, StoredRecord
 from yarrowwall.model import Attempt, ProgramContext, RequestKind, Route
-from yarrowwall.policy.budget_parts import divide
+from yarrowwall.policy.budget_parts import divide_budget
 from yarrowwall.policy.request_time import RequestTime
 from yarrowwall.ports.programs import TurnGrant
 from yarrowwall.replication.exceptions import NoQuorumError
@@ -66,7 +66,7 @@
             raise NoQuorumError(f"group {group}: silent")
         self.keep(group, record)
         if group == self.leaves_at:
-            raise CallerGoneError("half or full close")
+            raise CallerDisconnectedError("half or full close")
         return self._reading(group)
 
     def read_amounts(self, group: int, owner: str, timeout: float) -> OwnerReading:
@@ -97,7 +97,7 @@
     views = GroupViews()
     for place, group in enumerate([COMMON, *ZONE_GROUPS]):
         zone = f"zone-{place}"
-        views.take(GroupView(group, 1, [Member(f"storage-{place}", zone, "", zone)], []))
+        views.update(GroupView(group, 1, [Member(f"storage-{place}", zone, "", zone)], []))
     return views
 
 
@@ -124,7 +124,7 @@
     log: Any = _Log()
     client: Any = groups
     queues: Any = _Queues(groups)
-    reach = GroupReach(groups.must_answer, log, lambda: 0.0)
+    reach = GroupReachability(groups.must_answer, log, lambda: 0.0)
     context.reservations = Reservations(client, ZoneGroups(OWN_ZONE, _views()), reach, queues, log)
     context.turns = 0
 
@@ -134,7 +134,7 @@
     context.turns += 1
     program = ProgramContext("looper", context.budget, MOST_TOKENS, None, None)
     attempt = f"attempt-{context.turns:03}"
-    wanted = wanted_by("looper", program, attempt, RETENTION_SECONDS, COMMON)
+    wanted = claim_for("looper", program, attempt, RETENTION_SECONDS, COMMON)
     try:
         reserved = context.reservations.reserve(wanted, context.budget)
     except BudgetExhaustedError:
@@ -185,7 +185,7 @@
     context.groups.leaves_at = COMMON
     try:
         _turn(context)
-    except CallerGoneError:
+    except CallerDisconnectedError:
         context.groups.leaves_at = None
         return
     raise AssertionError("the turn was decided")
@@ -222,7 +222,7 @@
 @then("the turn gets all that it may emit within {limit_s:f} s")
 def gets_the_rest(context: Context, limit_s: float) -> None:
     context.end_s = time.monotonic() + limit_s
-    context.grant.cover([Event(b"", str(number)) for number in range(MOST_TOKENS)])
+    context.grant.ensure_granted([Event(b"", str(number)) for number in range(MOST_TOKENS)])
     assert COMMON not in context.groups.fails_once
 
 
@@ -233,13 +233,15 @@
     attempt = Attempt("granted", "POST", "/x", "host", [], b"", now_s, now_s + 9.0, program)
     context.grant = Mock(spec=TurnGrant, body=b"", last_server="", is_first=False)
     gateway = Mock()
-    gateway.under_way = set()
-    gateway.parts.programs.open_turn.return_value = context.grant
-    gateway.parts.dispatch.loads.ask.return_value.wait.side_effect = CallerGoneError("left")
+    gateway.active_requests = set()
+    gateway.components.programs.open_turn.return_value = context.grant
+    gateway.components.dispatch.loads.ask.return_value.wait.side_effect = CallerDisconnectedError(
+        "left"
+    )
     exchange = Exchange(gateway, {"eventlet.input": Mock()}, Mock())
     try:
         list(exchange._stream(attempt, ROUTE, RequestTime(now_s, now_s + 9.0, 5.0)))
-    except CallerGoneError:
+    except CallerDisconnectedError:
         return
     raise AssertionError("the turn went on")
 
@@ -256,7 +258,7 @@
 def another_holds(context: Context, tokens: int, others: str) -> None:
     groups = context.groups
     groups.silent.clear()
-    part = divide(context.budget, len(ZONE_GROUPS)).of_zone
+    part = divide_budget(context.budget, len(ZONE_GROUPS)).per_zone
     for group, held in {COMMON: tokens, **dict.fromkeys(ZONE_GROUPS[1:], part)}.items():
         key = "budget/looper/other"
         groups.keep(group, StoredRecord(key, 1, "looper", "", RETENTION_SECONDS, held, b""))
@@ -273,7 +275,7 @@
 def gets_some_at_a_time(context: Context, tokens: int, limit_s: float) -> None:
     context.end_s = time.monotonic() + limit_s
     for count in range(1, tokens + 1):
-        context.grant.cover([Event(b"", str(number)) for number in range(count)])
+        context.grant.ensure_granted([Event(b"", str(number)) for number in range(count)])
 
 
 @then("no more than {budget:d} tokens are granted to both")
@@ -297,6 +299,6 @@
 @then("the next turn is granted all that it may emit")
 def granted_in_full(context: Context) -> None:
     program = ProgramContext("looper", context.budget, MOST_TOKENS, None, None)
-    wanted = wanted_by("looper", program, "in-full", RETENTION_SECONDS, COMMON)
+    wanted = claim_for("looper", program, "in-full", RETENTION_SECONDS, COMMON)
     reserved = context.reservations.reserve(wanted, context.budget)
     assert reserved.granted == MOST_TOKENS, reserved
--- a/yarrowwall/machine/gateway_followers.py
+++ b/yarrowwall/machine/gateway_followers.py
@@ -40,7 +40,7 @@
         self._directory = directory
         self._views = views
         self._log = log
-        freshness = gateway.parts.freshness
+        freshness = gateway.components.freshness
         self._probe = FreshnessProbe(
             node_id,
             store,
@@ -51,7 +51,7 @@
             time.monotonic,
         )
         servers = ServerList(
-            documents, directory, lambda: gateway.admission.services, log, time.monotonic
+            documents, directory, lambda: gateway.router.services, log, time.monotonic
         )
         self._followers = [
             KindFollower(
@@ -66,8 +66,8 @@
             KindFollower(
                 store,
                 documents.servers_kind,
-                servers.take_list,
-                servers.take_change,
+                servers.apply_list,
+                servers.apply_change,
                 log,
                 self._note_read,
                 watch_s=LONG_WATCH_SECONDS,
@@ -95,11 +95,11 @@
     def has_initial_state(self) -> bool:
         """Return whether configuration, servers and replicas were read."""
         has_listed = all(follower.has_listed for follower in self._followers)
-        return has_listed and self._gateway.table is not None and self._views.count > 0
+        return has_listed and self._gateway.table is not None and self._views.common_group_count > 0
 
     def _note_read(self, revision: int) -> None:
         if self.has_initial_state:
-            self._gateway.note_informed()
+            self._gateway.note_initial_load()
 
     # Configuration
 
@@ -121,8 +121,8 @@
             self._put_in_force(configuration)
 
     def _put_in_force(self, configuration: Configuration) -> None:
-        if self._gateway.put_in_force(configuration):
-            self._directory.take_services(configuration.services)
+        if self._gateway.apply_configuration(configuration):
+            self._directory.update_services(configuration.services)
 
     # Groups of replicas
 
@@ -136,4 +136,4 @@
 
     def _take_groups(self, item: StoredObject) -> None:
         for view in read_groups(item) or ():
-            self._views.take(view)
+            self._views.update(view)
--- a/yarrowwall/machine/gateway_role.py
+++ b/yarrowwall/machine/gateway_role.py
@@ -9,32 +9,32 @@
 
 from yarrowwall import decisions
 from yarrowwall.budgets.ledger import ReplicatedLedger
+from yarrowwall.capacity.admission_client import AdmissionClient
 from yarrowwall.capacity.load_reports import LoadReporter
-from yarrowwall.capacity.program_rooms import ProgramRooms
 from yarrowwall.decisions import DecisionLog
-from yarrowwall.dispatch.parts import DispatchParts
+from yarrowwall.dispatch.components import DispatchComponents
 from yarrowwall.dispatch.pool import ConnectionPool
+from yarrowwall.gateway.components import GatewayComponents
 from yarrowwall.gateway.gateway import Gateway
-from yarrowwall.gateway.http_server import ServerLimits, serve
-from yarrowwall.gateway.parts import GatewayParts
-from yarrowwall.listening import SteadyListener
+from yarrowwall.gateway.http_server import CurrentCallerLimits, serve
+from yarrowwall.listening import ResilientListener
 from yarrowwall.machine.gateway_followers import GatewayFollowers
 from yarrowwall.machine.listeners import EarlyListeners
 from yarrowwall.machine.settings import GatewaySettings, MachineSettings
 from yarrowwall.messages.relaying import Neighbour
 from yarrowwall.messages.replicated import GroupView
 from yarrowwall.metrics import MachineMetrics
+from yarrowwall.policy.active_programs import ActivePrograms
 from yarrowwall.policy.freshness import Freshness
 from yarrowwall.policy.memory_budget import MemoryBounds, MemoryBudget
-from yarrowwall.policy.programs_under_way import ProgramsUnderWay
 from yarrowwall.policy.servers import ServerDirectory
 from yarrowwall.ports.platform import Adapter
-from yarrowwall.quotas.borrowing import QuotaBorrower
-from yarrowwall.replication.forwarding import Forwarder
+from yarrowwall.quotas.permit_client import PermitClient
+from yarrowwall.replication.forwarding import ForwardHandler
 from yarrowwall.replication.group_views import GroupViews
 from yarrowwall.replication.loss_checks import LossChecks
 from yarrowwall.replication.neighbour_finder import NeighbourFinder
-from yarrowwall.replication.passage import NeighbourPassage
+from yarrowwall.replication.neighbour_forwarder import NeighbourForwarder
 from yarrowwall.replication.quorum_client import QuorumClient
 from yarrowwall.replication.relayed_links import RelayedLinkTable
 from yarrowwall.replication.rpc import serve_requests
@@ -68,28 +68,28 @@
         self._directory = ServerDirectory(settings.zone)
         self._pool = ConnectionPool(time.monotonic, time.time)
         self._directory.on_removed = self._pool.end_incarnation
-        self._limits = ServerLimits()
+        self._limits = CurrentCallerLimits()
         self._memory = MemoryBudget(MemoryBounds.of_machine(settings.memory_mb))
         self._store = store
         self._views = GroupViews(self._note_view)
         links = self._links = RelayedLinkTable(settings.node_id, log, time.monotonic)
         own_address = Neighbour(settings.node_id, settings.zone, settings.peer_address)
         self._finder = NeighbourFinder(own_address, self._views, links)
-        self._forwarder = Forwarder(links, self._is_passed_on_to)
-        store.relayed_reads.set_forwarder(NeighbourPassage(links, time.monotonic))
+        self._forwarder = ForwardHandler(links, self._is_passed_on_to)
+        store.relayed_reads.set_forwarder(NeighbourForwarder(links, time.monotonic))
         client = QuorumClient(settings.zone, self._views, links, time.monotonic)
         losses = LossChecks(self._views, links, store, log, time.monotonic)
-        client.has_lost, client.on_all_gone = losses.has_lost, losses.check
-        programs = ProgramsUnderWay()
+        client.has_lost, client.on_all_replaced = losses.has_lost, losses.check
+        programs = ActivePrograms()
         self._ledger = ReplicatedLedger(settings.zone, self._views, client, log, time.monotonic)
         self._loads = LoadReporter(
             settings.node_id, self._directory, self._views, links, time.monotonic, programs
         )
-        rooms = ProgramRooms(self._directory, self._loads, programs, log, time.monotonic)
-        self._quotas = QuotaBorrower(settings.zone, self._views, links, log, time.monotonic)
+        rooms = AdmissionClient(self._directory, self._loads, programs, log, time.monotonic)
+        self._quotas = PermitClient(settings.zone, self._views, links, log, time.monotonic)
         bounds = settings.bounds
         self._freshness = Freshness(bounds.revocation_s, bounds.configuration_s)
-        dispatch = DispatchParts(
+        dispatch = DispatchComponents(
             self._directory,
             self._pool,
             adapter.servers,
@@ -99,7 +99,7 @@
             time.monotonic,
         )
         self.gateway = Gateway(
-            GatewayParts(
+            GatewayComponents(
                 dispatch,
                 adapter.callers,
                 self._ledger,
@@ -125,11 +125,11 @@
         self._loads.start()
         if self._settings.accepts_forwarded_requests:
             self._start_forwarding()
-        callers = SteadyListener(self._listeners.take(self._own.http_address), self._log)
+        callers = ResilientListener(self._listeners.take(self._own.http_address), self._log)
         eventlet.spawn_n(serve, callers, self.gateway, self._limits, self._log)
         eventlet.spawn_n(
             eventlet.wsgi.server,
-            SteadyListener(self._listeners.take(self._own.readiness_address), self._log),
+            ResilientListener(self._listeners.take(self._own.readiness_address), self._log),
             self._answer_readiness,
             log_output=False,
         )
@@ -142,7 +142,7 @@
         except OSError as error:
             self._log.write(decisions.DependencyChanged("peer port", False, str(error)))
             return
-        peers = SteadyListener(plain, self._log)
+        peers = ResilientListener(plain, self._log)
         eventlet.spawn_n(serve_requests, peers, self._forwarder.handle, self._log)
         self._finder.start()
 
@@ -173,7 +173,7 @@
                 "all": self._memory.held,
                 "peak": self._memory.peak,
                 "bound": self._memory.bounds.total,
-                "server_with_most": self._memory.most_for_a_server,
+                "server_with_most": self._memory.largest_server_bytes,
             }
         )
 
@@ -185,7 +185,7 @@
         them through those; one that hears nothing of the configuration refuses all that come
         with a key.
         """
-        if self._links.paths.is_served(time.monotonic()):
+        if self._links.paths.has_working_neighbour(time.monotonic()):
             return False
         is_able = (
             self._followers.has_initial_state
@@ -209,7 +209,7 @@
             eventlet.sleep(HOUSEKEEPING_SECONDS)
             self._directory.forget_vanished(time.monotonic())
             self._pool.close_expired()
-            self._quotas.keep_house()
+            self._quotas.drop_expired()
             self._ledger.probe()
             self._links.probe()
 
--- a/yarrowwall/watching/reader_selection.py
+++ b/yarrowwall/watching/reader_selection.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable
 
-from yarrowwall.backoff import doubled_s
+from yarrowwall.backoff import exponential_backoff_s
 from yarrowwall.hashing import fraction
 from yarrowwall.messages.replicated import Member
 
@@ -87,7 +87,7 @@
         """Skip a reader that did not answer, for longer with each failure in a row."""
         failures = self._failures.get(node_id, 0)
         self._failures[node_id] = failures + 1
-        pause_s = doubled_s(SKIP_SECONDS, MAX_SKIP_SECONDS, failures)
+        pause_s = exponential_backoff_s(SKIP_SECONDS, MAX_SKIP_SECONDS, failures)
         self._skipped_until[node_id] = now_s + pause_s
 
     def note_answered_relayed(self, node_id: str, now_s: float) -> None:
--- a/yarrowwall/watching/relayed_reads.py
+++ b/yarrowwall/watching/relayed_reads.py
@@ -6,7 +6,7 @@
 from typing import Protocol
 
 from yarrowwall import decisions
-from yarrowwall.backoff import doubled_s
+from yarrowwall.backoff import exponential_backoff_s
 from yarrowwall.decisions import DecisionLog
 from yarrowwall.messages.objects import ListObjects, ObjectsReply, ObjectsStatus, WatchObjects
 from yarrowwall.messages.replicated import Member
@@ -130,7 +130,9 @@
         """Send a relayed read to find out whether a reader can be reached this way."""
         # Counted from the start of this probe, which takes up to 0.7 s, so that the next health
         # check does not start another one at once.
-        pause_s = doubled_s(PROBE_PAUSE_SECONDS, MAX_PROBE_PAUSE_SECONDS, self._failed_probes)
+        pause_s = exponential_backoff_s(
+            PROBE_PAUSE_SECONDS, MAX_PROBE_PAUSE_SECONDS, self._failed_probes
+        )
         self._failed_probes += 1
         self._next_probe_s = self._now() + pause_s
         self.ask(request)
