--- a/yarrowwall/machine/__init__.py
+++ b/yarrowwall/machine/__init__.py
@@ -1,4 +1,4 @@
-"""What runs on one machine of the platform, put together: gateway role, replica role, settings.
+"""The processes of a machine: the gateway role, the replica role, and their settings.
 
-Everything that is wired is made here; no other package makes parts of a process by itself.
+This package wires the components together; no other package creates them for a process.
 """
--- a/yarrowwall/machine/gateway_followers.py
+++ b/yarrowwall/machine/gateway_followers.py
@@ -1,4 +1,4 @@
-"""What a gateway follows in the platform's store: configuration, servers, groups of replicas."""
+"""Followers of the platform store for a gateway: configuration, servers, replica groups."""
 
 import time
 
@@ -20,9 +20,9 @@
 class GatewayFollowers:
     """Keeps a gateway's configuration, servers and groups up to date.
 
-    :param gateway: gets each configuration, and is told once all was read.
-    :param directory: gets the servers.
-    :param views: gets the groups of replicas.
+    :param gateway: receives each configuration, and is notified once everything has been read.
+    :param directory: receives the servers.
+    :param views: receives the replica groups.
     """
 
     def __init__(
@@ -46,7 +46,7 @@
             store,
             ObjectName(documents.configuration_kind, documents.configuration_name),
             freshness,
-            self._take_configuration,
+            self._on_configuration,
             log,
             time.monotonic,
         )
@@ -57,10 +57,10 @@
             KindFollower(
                 store,
                 documents.configuration_kind,
-                self._configurations_listed,
-                self._configuration_changed,
+                self._on_configurations_listed,
+                self._on_configuration_changed,
                 log,
-                self._note_read,
+                self._on_read,
                 on_verified=freshness.note_proved,
             ),
             KindFollower(
@@ -69,71 +69,71 @@
                 servers.apply_list,
                 servers.apply_change,
                 log,
-                self._note_read,
+                self._on_read,
                 watch_s=LONG_WATCH_SECONDS,
                 allow_stale=True,
             ),
             KindFollower(
                 store,
                 GROUPS_KIND,
-                self._groups_listed,
-                self._groups_changed,
+                self._on_groups_listed,
+                self._on_groups_changed,
                 log,
-                self._note_read,
+                self._on_read,
                 watch_s=LONG_WATCH_SECONDS,
                 allow_stale=True,
             ),
         ]
 
     def start(self) -> None:
-        """Begin to follow."""
+        """Start following."""
         for follower in self._followers:
             follower.start()
         self._probe.start()
 
     @property
     def has_initial_state(self) -> bool:
-        """Return whether configuration, servers and replicas were read."""
+        """Return whether configuration, servers and replica groups have been read."""
         has_listed = all(follower.has_listed for follower in self._followers)
         return has_listed and self._gateway.table is not None and self._views.common_group_count > 0
 
-    def _note_read(self, revision: int) -> None:
+    def _on_read(self, revision: int) -> None:
         if self.has_initial_state:
             self._gateway.note_initial_load()
 
     # Configuration
 
-    def _configurations_listed(self, items: list[StoredObject]) -> None:
+    def _on_configurations_listed(self, items: list[StoredObject]) -> None:
         for item in items:
-            self._take_configuration(item)
+            self._on_configuration(item)
 
-    def _configuration_changed(self, change: Change) -> None:
+    def _on_configuration_changed(self, change: Change) -> None:
         if not change.is_gone:
-            self._take_configuration(change.item)
+            self._on_configuration(change.item)
 
-    def _take_configuration(self, item: StoredObject) -> None:
+    def _on_configuration(self, item: StoredObject) -> None:
         try:
             configuration = self._documents.configuration(item)
         except (AttributeError, KeyError, TypeError, ValueError) as error:
             self._log.write(decisions.DependencyChanged("configuration", False, repr(error)))
             return
         if configuration is not None:
-            self._put_in_force(configuration)
+            self._apply_configuration(configuration)
 
-    def _put_in_force(self, configuration: Configuration) -> None:
+    def _apply_configuration(self, configuration: Configuration) -> None:
         if self._gateway.apply_configuration(configuration):
             self._directory.update_services(configuration.services)
 
-    # Groups of replicas
+    # Replica groups
 
-    def _groups_listed(self, items: list[StoredObject]) -> None:
+    def _on_groups_listed(self, items: list[StoredObject]) -> None:
         for item in items:
-            self._take_groups(item)
+            self._update_groups(item)
 
-    def _groups_changed(self, change: Change) -> None:
+    def _on_groups_changed(self, change: Change) -> None:
         if not change.is_gone:
-            self._take_groups(change.item)
+            self._update_groups(change.item)
 
-    def _take_groups(self, item: StoredObject) -> None:
+    def _update_groups(self, item: StoredObject) -> None:
         for view in read_groups(item) or ():
             self._views.update(view)
--- a/yarrowwall/machine/gateway_role.py
+++ b/yarrowwall/machine/gateway_role.py
@@ -1,4 +1,4 @@
-"""The gateway of a machine: listeners, followers of the platform's store, stop."""
+"""The gateway role of a machine: its components, listeners and shutdown."""
 
 import time
 from collections.abc import Callable, Iterable
@@ -42,14 +42,14 @@
 
 #: Seconds between rounds of housekeeping.
 HOUSEKEEPING_SECONDS = 0.5
-#: Seconds after a stop was asked for in which new connections may still come.
-LEAST_STOP_SECONDS = 3.2
-#: Seconds kept free at the end of the time that a stop may take.
+#: Seconds after the start of a shutdown in which new connections may still arrive.
+MIN_STOP_SECONDS = 3.2
+#: Seconds kept in reserve at the end of the time that a shutdown may take.
 STOP_MARGIN_SECONDS = 0.7
 
 
 class GatewayRole:
-    """Runs a gateway."""
+    """Wires the components of a gateway and runs it."""
 
     def __init__(
         self,
@@ -75,17 +75,17 @@
         links = self._links = RelayedLinkTable(settings.node_id, log, time.monotonic)
         own_address = Neighbour(settings.node_id, settings.zone, settings.peer_address)
         self._finder = NeighbourFinder(own_address, self._views, links)
-        self._forwarder = ForwardHandler(links, self._is_passed_on_to)
+        self._forwarder = ForwardHandler(links, self._may_forward_to)
         store.relayed_reads.set_forwarder(NeighbourForwarder(links, time.monotonic))
         client = QuorumClient(settings.zone, self._views, links, time.monotonic)
-        losses = LossChecks(self._views, links, store, log, time.monotonic)
-        client.has_lost, client.on_all_replaced = losses.has_lost, losses.check
+        loss_checks = LossChecks(self._views, links, store, log, time.monotonic)
+        client.has_lost, client.on_all_replaced = loss_checks.has_lost, loss_checks.check
         programs = ActivePrograms()
         self._ledger = ReplicatedLedger(settings.zone, self._views, client, log, time.monotonic)
         self._loads = LoadReporter(
             settings.node_id, self._directory, self._views, links, time.monotonic, programs
         )
-        rooms = AdmissionClient(self._directory, self._loads, programs, log, time.monotonic)
+        admission = AdmissionClient(self._directory, self._loads, programs, log, time.monotonic)
         self._quotas = PermitClient(settings.zone, self._views, links, log, time.monotonic)
         bounds = settings.bounds
         self._freshness = Freshness(bounds.revocation_s, bounds.configuration_s)
@@ -104,7 +104,7 @@
                 adapter.callers,
                 self._ledger,
                 self._quotas,
-                rooms,
+                admission,
                 self._limits,
                 self._freshness,
             )
@@ -120,7 +120,7 @@
         )
 
     def start(self) -> None:
-        """Begin to follow the store and to listen."""
+        """Start following the store and accepting connections."""
         self._followers.start()
         self._loads.start()
         if self._settings.accepts_forwarded_requests:
@@ -133,37 +133,37 @@
             self._answer_readiness,
             log_output=False,
         )
-        eventlet.spawn_n(self._keep_house)
+        eventlet.spawn_n(self._run_maintenance)
 
     def _start_forwarding(self) -> None:
-        """Forward for neighbours, and learn of them; callers are served without it as well."""
+        """Start forwarding for neighbours; if the port is taken, callers are served without it."""
         try:
-            plain = self._listeners.take(self._settings.peer_address)
+            listener = self._listeners.take(self._settings.peer_address)
         except OSError as error:
             self._log.write(decisions.DependencyChanged("peer port", False, str(error)))
             return
-        peers = ResilientListener(plain, self._log)
+        peers = ResilientListener(listener, self._log)
         eventlet.spawn_n(serve_requests, peers, self._forwarder.handle, self._log)
         self._finder.start()
 
-    def _is_passed_on_to(self, address: str) -> bool:
-        """Return whether requests of neighbours are passed on to an address."""
+    def _may_forward_to(self, address: str) -> bool:
+        """Return whether requests of neighbours may be forwarded to an address."""
         return self._views.has_replica_at(address) or self._store.has_reader_at(address)
 
     def stop(self) -> None:
-        """Take no new connections, finish what runs, return."""
-        begun = time.monotonic()
-        last = begun + self._settings.bounds.stop - STOP_MARGIN_SECONDS
-        self.gateway.stop(begun, last)
-        while time.monotonic() < last:
+        """Finish running requests and return, at the latest when the allowed time is over."""
+        stopping_since = time.monotonic()
+        deadline = stopping_since + self._settings.bounds.stop - STOP_MARGIN_SECONDS
+        self.gateway.stop(stopping_since, deadline)
+        while time.monotonic() < deadline:
             is_busy = self.gateway.running or self._ledger.has_unsettled
-            if time.monotonic() > begun + LEAST_STOP_SECONDS and not is_busy:
+            if time.monotonic() > stopping_since + MIN_STOP_SECONDS and not is_busy:
                 return
             eventlet.sleep(0.05)
         self.gateway.note_process_ended()
 
     def update_metrics(self, metrics: MachineMetrics) -> None:
-        """Set the metrics that are measured when they are asked for."""
+        """Set the metrics that are computed on each scrape."""
         metrics.set_age(self.gateway.configuration_age_s)
         metrics.set_relayed(self._links.relayed, self._forwarder.forwarded)
         metrics.set_relay_refusals(self._links.refused, self._forwarder.refused)
@@ -179,10 +179,10 @@
 
     @property
     def is_ready(self) -> bool:
-        """Return whether new connections are welcome.
+        """Return whether the gateway should get new connections.
 
-        A gateway that is cut off from the replicas refuses turns that others could run, or runs
-        them through those; one that hears nothing of the configuration refuses all that come
+        A gateway that is cut off from the replicas refuses turns that other gateways could run, or
+        runs them through those gateways. One whose configuration is too old refuses all requests
         with a key.
         """
         if self._links.paths.has_working_neighbour(time.monotonic()):
@@ -204,7 +204,7 @@
         start_response(status, [("Content-Length", "0")])
         return [b""]
 
-    def _keep_house(self) -> None:
+    def _run_maintenance(self) -> None:
         while True:
             eventlet.sleep(HOUSEKEEPING_SECONDS)
             self._directory.forget_vanished(time.monotonic())
--- a/yarrowwall/machine/listeners.py
+++ b/yarrowwall/machine/listeners.py
@@ -1,8 +1,8 @@
-"""Listening sockets that are opened before the rest of a program is loaded.
+"""Listening sockets that are opened before the rest of the program is loaded.
 
-Most of a start is the import of libraries. A port that listens meanwhile lets callers
-wait for that fraction of a second in the kernel's queue, where a closed one would refuse
-them, and a caller that may try only once again would have to give its program up.
+Most of the startup time is the import of libraries. Callers that connect meanwhile wait in the
+kernel's queue for that fraction of a second. A closed port would refuse them, and a caller with a
+single retry left would have to abandon its program.
 """
 
 import socket
@@ -10,14 +10,14 @@
 
 from yarrowwall.addresses import split_address
 
-#: Connections that may wait to be accepted on one port.
+#: Maximum number of connections that wait to be accepted on one port.
 BACKLOG = 512
 
 
 class EarlyListeners:
     """The listening sockets of a process, by address.
 
-    :param addresses: what to listen on at once.
+    :param addresses: addresses to listen on from now on.
     """
 
     def __init__(self, addresses: list[str]) -> None:
@@ -26,14 +26,14 @@
             self._sockets[address] = _listen(address)
 
     def take(self, address: str) -> socket.socket:
-        """Return the listening socket of an address, opened now if it was not before.
+        """Return the listening socket of an address, opening it if necessary.
 
-        Its new owner closes it.
+        The caller has to close it.
         """
         return self._sockets.pop(address, None) or _listen(address)
 
     def close(self) -> None:
-        """Close the sockets that nobody took."""
+        """Close the sockets that have not been taken."""
         while self._sockets:
             _, unused = self._sockets.popitem()
             unused.close()
--- a/yarrowwall/machine/process.py
+++ b/yarrowwall/machine/process.py
@@ -1,4 +1,4 @@
-"""The process of a machine: a gateway, a replica, or both."""
+"""The process of a machine, with the gateway role, the replica role or both."""
 
 import signal
 import time
@@ -22,28 +22,28 @@
 from yarrowwall.watching.reader import StoreReader
 from yarrowwall.watching.store_client import StoreClient
 
-#: Seconds between looks at the settings file, which may change without a signal.
-SETTINGS_SECONDS = 2.0
+#: Seconds between checks of the settings file, which may change without a signal.
+SETTINGS_CHECK_SECONDS = 2.0
 
 
 class Role(Protocol):
     """A role of a machine."""
 
     def start(self) -> None:
-        """Begin to work."""
+        """Start working."""
 
     def stop(self) -> None:
-        """Finish what runs; returns when done."""
+        """Finish running work and return."""
 
     def update_metrics(self, metrics: MachineMetrics) -> None:
-        """Set the metrics that are measured when they are asked for."""
+        """Set the metrics that are computed on each scrape."""
 
 
 class Machine:
     """The process of a machine.
 
     :param listeners: listening sockets that were opened before.
-    :param path: the settings file, looked at again while the process runs.
+    :param path: the settings file, which is checked for changes while the process runs.
     """
 
     def __init__(
@@ -62,13 +62,13 @@
         self._is_stopping = False
         reader = self._make_reader(adapter) if settings.replica is not None else None
         self._store = self._make_store(adapter, reader)
-        self._parts: list[Role] = []
+        self._roles: list[Role] = []
         if settings.gateway is not None:
-            self._parts.append(
+            self._roles.append(
                 GatewayRole(settings, settings.gateway, adapter, self._store, listeners, self._log)
             )
         if settings.replica is not None and reader is not None:
-            self._parts.append(
+            self._roles.append(
                 ReplicaRole(
                     settings,
                     settings.replica,
@@ -81,7 +81,7 @@
             )
 
     def _make_reader(self, adapter: Adapter) -> StoreReader:
-        """Return what reads the store for other machines, and for this one."""
+        """Return the reader of the store for other machines and this one."""
         documents = adapter.documents
         return StoreReader(
             adapter.make_store(),
@@ -91,7 +91,7 @@
         )
 
     def _make_store(self, adapter: Adapter, reader: StoreReader | None) -> StoreClient:
-        """Return the store as this machine reads it."""
+        """Return the client of the store that the roles of this machine use."""
         documents = adapter.documents
         return StoreClient(
             self._settings.node_id,
@@ -104,39 +104,39 @@
         )
 
     def start(self) -> None:
-        """Begin to work."""
+        """Start working."""
         for number in (signal.SIGTERM, signal.SIGINT):
             signal.signal(number, lambda *_: eventlet.spawn_n(self.stop))
         signal.signal(signal.SIGHUP, lambda *_: eventlet.spawn_n(self.reload))
         signal.signal(signal.SIGPIPE, signal.SIG_IGN)
         self._store.start()
-        for part in self._parts:
-            part.start()
+        for role in self._roles:
+            role.start()
         eventlet.spawn_n(self._watch_settings)
         eventlet.spawn_n(self._serve_metrics)
         self._log.write(decisions.ProcessChanged("started", self._settings.zone))
 
     def _serve_metrics(self) -> None:
-        plain = self._listeners.take(self._settings.metrics_address)
-        serve_metrics(ResilientListener(plain, self._log), self._render_metrics)
+        listener = self._listeners.take(self._settings.metrics_address)
+        serve_metrics(ResilientListener(listener, self._log), self._render_metrics)
 
     def _render_metrics(self) -> bytes:
-        for part in self._parts:
-            part.update_metrics(self._metrics)
+        for role in self._roles:
+            role.update_metrics(self._metrics)
         return self._metrics.render(self._log.dropped)
 
     def stop(self) -> None:
-        """Finish what runs and end."""
+        """Finish running work and end the process."""
         if self._is_stopping:
             return
         self._is_stopping = True
         self._log.write(decisions.ProcessChanged("stopping", ""))
-        for part in self._parts:
-            part.stop()
+        for role in self._roles:
+            role.stop()
         self._stopped.send(0)
 
     def reload(self) -> None:
-        """Read the settings file again; faults are told and the old settings stay."""
+        """Read the settings file again; if it has faults, log them and keep the old settings."""
         try:
             settings = load_machine_settings(self._path)
         except SettingsError as error:
@@ -147,16 +147,16 @@
             self._log.write(decisions.ProcessChanged("settings reloaded", ""))
 
     def _watch_settings(self) -> None:
-        # The first look reads the file in any case: it may have changed while the machine started.
+        # The first check always reads the file, which may have changed during startup.
         modified = None
         while True:
-            eventlet.sleep(SETTINGS_SECONDS)
-            found = self._modified_at()
+            eventlet.sleep(SETTINGS_CHECK_SECONDS)
+            found = self._modification_time()
             if found != modified:
                 modified = found
                 self.reload()
 
-    def _modified_at(self) -> float:
+    def _modification_time(self) -> float:
         try:
             return self._path.stat().st_mtime
         except OSError:
@@ -175,7 +175,7 @@
 def run_machine(
     settings: MachineSettings, adapter: Adapter, listeners: EarlyListeners, path: Path
 ) -> int:
-    """Run the process of a machine until it is told to stop.
+    """Run the process of a machine until it is asked to stop.
 
     :returns: the process's exit code.
     """
--- a/yarrowwall/machine/registration.py
+++ b/yarrowwall/machine/registration.py
@@ -1,4 +1,4 @@
-"""What a machine with disks tells the platform's store of itself: that it is there, and emptied."""
+"""Reports a machine with disks to the platform store: its registration and retirement."""
 
 from collections.abc import Sequence
 
@@ -18,16 +18,16 @@
 from yarrowwall.replication.peers import ReplicaPeers
 from yarrowwall.replication.views import all_members, disk_ids
 
-#: Seconds between two tries to register.
-TRY_SECONDS = 0.3
+#: Seconds between two attempts to register.
+RETRY_SECONDS = 0.3
 
 
 class Registration:
-    """Tells the store of this machine and its disks.
+    """Registers this machine and its disks in the store, and reports its retirement.
 
-    :param own: the machine with its disk for a common group.
+    :param own: this machine with its disk for a common group.
     :param zone_disk_id: its disk for the zone's own group.
-    :ivar retirements: the machines that are to be emptied, as the store told last.
+    :ivar retirements: the latest objects of machines that operators want to retire, by name.
     """
 
     def __init__(
@@ -45,11 +45,11 @@
         self._documents = documents
         self._peers = peers
         self._log = log
-        self._told = ""
+        self._logged = ""
         self.retirements: dict[str, StoredObject] = {}
 
     def register(self) -> None:
-        """Tell the store of this machine and its disks until the store has taken it."""
+        """Register this machine and its disks; retry until the store has accepted it."""
         spec = registration_spec(self._own, self._zone_disk_id)
         while True:
             try:
@@ -60,14 +60,14 @@
                     return
             except ObjectStoreError as error:
                 self._note_refused("registration not taken", error)
-            eventlet.sleep(TRY_SECONDS)
+            eventlet.sleep(RETRY_SECONDS)
 
     def _replace(self, spec: dict) -> bool:
-        """Register anew if the store holds something else; return whether it holds this now."""
+        """Replace a different registration; return whether the store holds this one now."""
         common = self._peers.registered.get(self._own.node_id)
         zone = self._peers.zone_disks.get(self._own.node_id)
-        known = registration_spec(common, zone.disk_id) if common and zone else None
-        if known == spec:
+        registered = registration_spec(common, zone.disk_id) if common and zone else None
+        if registered == spec:
             return True
         try:
             self._store.replace(REPLICAS_KIND, self._own.node_id, spec, None)
@@ -77,7 +77,7 @@
         return True
 
     def report_retirement(self, views: Sequence[GroupView]) -> None:
-        """Report whether this machine, if it is to be emptied, holds nothing any more.
+        """If this machine is to be retired, report whether it is still a member of a group.
 
         :param views: the newest views of all groups.
         """
@@ -101,8 +101,8 @@
         self._log.write(decisions.ProcessChanged(change, self._own.node_id))
 
     def _note_refused(self, change: str, error: ObjectStoreError) -> None:
-        """Log why the store did not take something, once for each reason in a row."""
-        told = f"{change}: {error}"
-        if told != self._told:
-            self._told = told
+        """Log why the store did not accept a change; repetitions of a reason are not logged."""
+        text = f"{change}: {error}"
+        if text != self._logged:
+            self._logged = text
             self._log.write(decisions.ProcessChanged(change, str(error)))
--- a/yarrowwall/machine/replica_requests.py
+++ b/yarrowwall/machine/replica_requests.py
@@ -1,4 +1,4 @@
-"""Requests of other machines to one with disks: each goes to what answers its type."""
+"""Dispatches requests of other machines to a machine with disks, by their types."""
 
 import time
 from collections.abc import Callable
@@ -33,7 +33,7 @@
 
 
 class LocalReplica(NamedTuple):
-    """A replica of the machine with its disk and its copying."""
+    """A replica on this machine: its disk, and the synchroniser that copies missing records."""
 
     disk: RecordDisk
     synchroniser: Synchroniser
@@ -43,7 +43,7 @@
     """Answers the requests of other machines.
 
     :param common: the replica of a common group.
-    :param zone: that of the zone's own group.
+    :param zone: the replica of the zone's own group.
     """
 
     def __init__(
@@ -54,20 +54,20 @@
         self._permits = permits
         self._reader = reader
         self._loads = LoadBoard()
-        self._rooms = AdmissionBoard()
+        self._admission = AdmissionBoard()
         self._neighbours = NeighbourRegistry()
 
     def handle(self, request: object, reply: Reply) -> None:
         """Answer a request; the reply may follow later, or not at all."""
         match request:
             case ReportLoad():
-                reply(self._exchange_loads(request))
+                reply(self._reply_loads(request))
             case TellLoad():
-                self._take_loads(request)
+                self._record_loads(request)
             case AskRoom():
-                reply(self._rooms.decide(request, self._loads, time.monotonic()))
+                reply(self._admission.decide(request, self._loads, time.monotonic()))
             case ReturnRoom():
-                self._rooms.cancel(request)
+                self._admission.cancel(request)
             case TakeQuota():
                 self._permits.issue(request, reply)
             case ReturnQuota():
@@ -80,42 +80,42 @@
             case AskStatuses():
                 reply(StatusesReply(self._status(self._common), self._status(self._zone)))
             case _:
-                self._ask_replica(cast(Request, request), reply)
+                self._pass_to_replica(cast(Request, request), reply)
 
     def replica_of(self, group: int) -> LocalReplica:
-        """Return the replica that is for groups of a kind."""
+        """Return the replica of this machine that serves a group."""
         return self._zone if is_zone_group(group) else self._common
 
     @staticmethod
-    def _status(kept: LocalReplica) -> StatusReply:
-        return kept.disk.replica.status()
+    def _status(replica: LocalReplica) -> StatusReply:
+        return replica.disk.replica.status()
 
-    def _ask_replica(self, request: Request, reply: Reply) -> None:
-        """Hand a request to the replica that it is meant for."""
+    def _pass_to_replica(self, request: Request, reply: Reply) -> None:
+        """Pass a request to the replica of its group; reply once its records are on disk."""
         group = request.view.group if isinstance(request, InstallView) else request.group
-        asked = self.replica_of(group)
-        outcome = asked.disk.replica.handle(request, time.time())
+        replica = self.replica_of(group)
+        outcome = replica.disk.replica.handle(request, time.time())
         if not outcome.persist:
             reply(outcome.reply)
             return
-        asked.disk.persist(
+        replica.disk.persist(
             list(outcome.persist),
-            lambda: reply(self._after_persist(asked, outcome.reply)),
+            lambda: reply(self._reply_after_persist(replica, outcome.reply)),
             lambda: reply(RecordsReply(ReplyStatus.DISK_REFUSED, False, [], None)),
         )
 
-    def _after_persist(self, asked: LocalReplica, reply: object) -> object:
-        asked.synchroniser.check_now()
-        return self._status(asked) if isinstance(reply, StatusReply) else reply
+    def _reply_after_persist(self, replica: LocalReplica, reply: object) -> object:
+        replica.synchroniser.check_now()
+        return self._status(replica) if isinstance(reply, StatusReply) else reply
 
     # Loads
 
-    def _exchange_loads(self, report: ReportLoad) -> LoadReply:
-        self._take_loads(report)
+    def _reply_loads(self, report: ReportLoad) -> LoadReply:
+        self._record_loads(report)
         others = self._loads.loads_of_others(report.node_id)
         interval_s, reporters = self._loads.interval_s, self._loads.reporters
         return LoadReply(list(others), list(others.values()), interval_s, reporters)
 
-    def _take_loads(self, report: ReportLoad | TellLoad) -> None:
+    def _record_loads(self, report: ReportLoad | TellLoad) -> None:
         running = dict(zip(report.servers, report.running, strict=True))
         self._loads.record_report(report.node_id, running, time.monotonic(), report.services)
--- a/yarrowwall/machine/replica_role.py
+++ b/yarrowwall/machine/replica_role.py
@@ -1,4 +1,4 @@
-"""The replica role of a machine: its disks, what it follows, upkeep."""
+"""The replica role of a machine: its disks, its followers of the store, and maintenance."""
 
 import time
 from pathlib import Path
@@ -41,18 +41,18 @@
 from yarrowwall.watching.follower import LONG_WATCH_SECONDS, KindFollower
 from yarrowwall.watching.reader import StoreReader
 
-#: Seconds between rounds of upkeep, and between looks for records to drop.
-UPKEEP_SECONDS = 0.3
+#: Seconds between rounds of maintenance, and between two removals of expired records.
+MAINTENANCE_SECONDS = 0.3
 EXPIRY_SECONDS = 5.0
-#: Seconds between looks whether the zone group's replica needs a copy: a new view makes one look
-#: at once, and fewer looks of one that has little to do are fewer wake-ups.
-ZONE_LOOK_SECONDS = 1.0
-#: Where the disk of the zone's own group is, in the data folder.
+#: Seconds between checks whether the zone group's replica needs a copy. A new view triggers a check
+#: at once, and longer intervals save wake-ups of a replica that rarely needs one.
+ZONE_CHECK_SECONDS = 1.0
+#: Folder of the zone group's disk within the data folder.
 ZONE_FOLDER = "zone"
 
 
 class ReplicaRole:
-    """Runs a replica of the record store."""
+    """Runs the replicas of the record store on a machine: of a common and of the zone group."""
 
     def __init__(
         self,
@@ -82,7 +82,7 @@
             self._disk, Synchroniser(self._disk, self._links, log, time.time)
         )
         self._zone = LocalReplica(
-            zone_disk, Synchroniser(zone_disk, self._links, log, time.time, ZONE_LOOK_SECONDS)
+            zone_disk, Synchroniser(zone_disk, self._links, log, time.time, ZONE_CHECK_SECONDS)
         )
         self._coordinator = Coordinator(
             settings.node_id,
@@ -105,8 +105,8 @@
             KindFollower(
                 store,
                 GROUPS_KIND,
-                self._groups_listed,
-                self._group_changed,
+                self._on_groups_listed,
+                self._on_group_changed,
                 log,
                 watch_s=LONG_WATCH_SECONDS,
                 allow_stale=True,
@@ -114,8 +114,8 @@
             KindFollower(
                 store,
                 REPLICAS_KIND,
-                self._replicas_listed,
-                self._replica_changed,
+                self._on_replicas_listed,
+                self._on_replica_changed,
                 log,
                 watch_s=LONG_WATCH_SECONDS,
                 allow_stale=True,
@@ -123,15 +123,15 @@
             KindFollower(
                 store,
                 documents.retirements_kind,
-                self._retirements_listed,
-                self._retirement_changed,
+                self._on_retirements_listed,
+                self._on_retirement_changed,
                 log,
                 allow_stale=True,
             ),
         ]
 
     def start(self) -> None:
-        """Begin to serve."""
+        """Start serving requests."""
         listener = ResilientListener(self._listeners.take(self._settings.peer_address), self._log)
         eventlet.spawn_n(serve_requests, listener, self._requests.handle, self._log)
         for follower in self._followers:
@@ -141,22 +141,22 @@
             replica.synchroniser.start()
         self._coordinator.start()
         eventlet.spawn_n(self._registration.register)
-        eventlet.spawn_n(self._keep_house)
+        eventlet.spawn_n(self._run_maintenance)
 
     def stop(self) -> None:
-        """Return at once: whatever was acknowledged is on disk."""
+        """Return at once, since everything that was acknowledged is on disk."""
 
     def update_metrics(self, metrics: MachineMetrics) -> None:
-        """Set the metrics that are measured when they are asked for."""
+        """Set the metrics that are computed on each scrape."""
         metrics.set_lent(self._disk.issuer.issued_by_tenant(time.monotonic()))
         metrics.set_zone_records(len(self._zone.disk.replica.table))
 
-    # Upkeep
+    # Maintenance
 
-    def _keep_house(self) -> None:
+    def _run_maintenance(self) -> None:
         next_expiry = time.monotonic() + EXPIRY_SECONDS
         while True:
-            eventlet.sleep(UPKEEP_SECONDS)
+            eventlet.sleep(MAINTENANCE_SECONDS)
             self._registration.report_retirement(self._coordinator.views())
             self._reader.stop_idle_kinds()
             self._permits.record_begun()
@@ -167,48 +167,48 @@
                     replica.disk.replica.table.expire(time.time())
                     replica.disk.compact_if_long()
 
-    # What the store tells
+    # Updates from the store
 
-    def _groups_listed(self, items: list[StoredObject]) -> None:
+    def _on_groups_listed(self, items: list[StoredObject]) -> None:
         for item in items:
-            self._take_groups(item)
+            self._update_groups(item)
         self._coordinator.has_registrations = True
 
-    def _group_changed(self, change: Change) -> None:
+    def _on_group_changed(self, change: Change) -> None:
         if not change.is_gone:
-            self._take_groups(change.item)
+            self._update_groups(change.item)
 
-    def _take_groups(self, item: StoredObject) -> None:
+    def _update_groups(self, item: StoredObject) -> None:
         self._coordinator.update_groups(item)
         for view in self._coordinator.views():
             replica = self._requests.replica_of(view.group)
-            if _concerns(view, replica.disk.replica):
+            if _is_affected(view, replica.disk.replica):
                 views = replica.disk.replica.install_view(view)
                 replica.disk.persist(views, replica.synchroniser.check_now)
             if is_zone_group(view.group) and zone_of(view) == self._settings.zone:
                 self._peers.has_zone_group = True
 
-    def _replicas_listed(self, items: list[StoredObject]) -> None:
+    def _on_replicas_listed(self, items: list[StoredObject]) -> None:
         self._peers.forget_all()
         for item in items:
-            self._take_registration(item)
+            self._note_registration(item)
 
-    def _replica_changed(self, change: Change) -> None:
+    def _on_replica_changed(self, change: Change) -> None:
         if change.is_gone:
             self._peers.forget(change.item.name)
         else:
-            self._take_registration(change.item)
+            self._note_registration(change.item)
 
-    def _take_registration(self, item: StoredObject) -> None:
+    def _note_registration(self, item: StoredObject) -> None:
         common = read_registration(item)
         if common is not None:
             self._peers.note_registration(item.name, common, read_zone_registration(item))
 
-    def _retirements_listed(self, items: list[StoredObject]) -> None:
+    def _on_retirements_listed(self, items: list[StoredObject]) -> None:
         self._registration.retirements = {item.name: item for item in items}
         self._coordinator.retiring = set(self._registration.retirements)
 
-    def _retirement_changed(self, change: Change) -> None:
+    def _on_retirement_changed(self, change: Change) -> None:
         retirements = self._registration.retirements
         if change.is_gone:
             retirements.pop(change.item.name, None)
@@ -217,8 +217,8 @@
         self._coordinator.retiring = set(retirements)
 
 
-def _concerns(view: GroupView, replica: RecordReplica) -> bool:
-    """Return whether a replica is of a group, or was."""
+def _is_affected(view: GroupView, replica: RecordReplica) -> bool:
+    """Return whether a replica belongs to the group of a view, or belonged to it."""
     own = replica.view
     is_own_group = own is not None and own.group == view.group
     return is_own_group or replica.disk_id in disk_ids(all_members(view))
--- a/yarrowwall/machine/settings.py
+++ b/yarrowwall/machine/settings.py
@@ -1,7 +1,7 @@
-"""Settings of a machine on a platform: TOML, checked, unknown keys passed over.
+"""Settings of a machine on a platform: a TOML file that is validated; unknown keys are ignored.
 
-Checked by ``msgspec`` and not, as the product's other settings, by ``pydantic``: that
-takes 0.1 s and 10 MB of every start, which on these machines is time out of service.
+It is validated with ``msgspec`` instead of ``pydantic``, which the other settings use: importing
+``pydantic`` adds 0.1 s and 10 MB to each start, and a machine is out of service meanwhile.
 """
 
 import re
@@ -21,12 +21,12 @@
 _Seconds = Annotated[float, msgspec.Meta(gt=0.0)]
 _Milliseconds = _Seconds
 _NotNegative = Annotated[float, msgspec.Meta(ge=0.0)]
-#: msgspec puts the place of a fault behind its text.
+#: msgspec appends the path of the invalid value to its message.
 _PLACE = re.compile(r" - at `\$\.?(.*)`$")
 
 
 class _Section(msgspec.Struct, frozen=True):
-    """A table of the file. A platform adds keys of its own with time; they are no faults."""
+    """A table of the file. Platforms may add keys, so unknown ones are not faults."""
 
 
 class Address(str):
@@ -34,7 +34,7 @@
 
 
 class GatewaySettings(_Section, frozen=True, kw_only=True):
-    """Listeners towards callers and the platform."""
+    """Addresses on which callers and the platform reach the gateway."""
 
     http_address: Address
     readiness_address: Address
@@ -49,14 +49,14 @@
 class BoundSettings(_Section, frozen=True, kw_only=True):
     """Time limits that the deployment sets.
 
-    :param stop: seconds that a process has to end after it was asked to.
-    :param revocation_ms: in which a key may still be served after it was taken away; None
-        without a bound.
-    :param configuration_ms: in which callers may still be refused by an older configuration;
-        None without a bound.
-    :param quota_window_s: any span of so many seconds has to keep within a tenant's limit.
-    :param quota_overage: part of a limit by which all gateways together may exceed it.
-    :param quota_slack: requests by which they may exceed it besides.
+    :param stop: seconds within which the process must end after it was asked to.
+    :param revocation_ms: time within which a key may still be served after it was revoked; None
+        for no bound.
+    :param configuration_ms: time within which callers may still be refused because of an older
+        configuration; None for no bound.
+    :param quota_window_s: length of the sliding window in which a tenant's limit must be kept.
+    :param quota_overage: fraction of a limit by which all gateways together may exceed it.
+    :param quota_slack: number of requests by which they may exceed it in addition.
     """
 
     stop: _Seconds = 8.0
@@ -68,17 +68,17 @@
 
     @property
     def quota_rules(self) -> QuotaRules:
-        """Return how tenants' limits are measured."""
+        """Return the rules by which tenants' limits are measured."""
         return QuotaRules(self.quota_window_s, self.quota_overage, self.quota_slack)
 
     @property
     def revocation_s(self) -> float | None:
-        """Return the bound of revocation in seconds."""
+        """Return the bound on serving a revoked key in seconds; None for no bound."""
         return self.revocation_ms / 1000.0 if self.revocation_ms is not None else None
 
     @property
     def configuration_s(self) -> float | None:
-        """Return the bound of a configuration's age in seconds."""
+        """Return the bound on refusals by an older configuration in seconds; None for no bound."""
         return self.configuration_ms / 1000.0 if self.configuration_ms is not None else None
 
 
@@ -101,26 +101,26 @@
 
     @property
     def peer_address(self) -> str:
-        """Return where other nodes reach this one."""
+        """Return the address on which other machines reach this one."""
         return f"{self.ip}:{self.first_peer_port}"
 
     @property
     def accepts_forwarded_requests(self) -> bool:
         """Return whether this machine forwards requests of gateways that are cut off.
 
-        A replica takes its own requests at the peer address, and so may metrics be told there.
+        It needs the peer address for that, which a replica or the metrics may already use.
         """
         is_free = self.replica is None and self.peer_address != self.metrics_address
         return self.gateway is not None and is_free
 
     @property
     def metrics_address(self) -> str:
-        """Return where metrics are told."""
+        """Return the address on which metrics are served."""
         return f"{self.ip}:{self.metrics_port or self.last_peer_port}"
 
     @property
     def listen_addresses(self) -> list[str]:
-        """Return where others reach this process."""
+        """Return the addresses on which callers, the platform and replicas' clients connect."""
         found: list[str] = []
         if self.gateway is not None:
             found += [self.gateway.http_address, self.gateway.readiness_address]
@@ -130,9 +130,9 @@
 
 
 def parse_machine_settings(text: str) -> MachineSettings:
-    """Check the text of a machine's settings file.
+    """Return the validated settings in the text of a settings file.
 
-    :raises SettingsError: with one line for each faulty key; of a table, for its first.
+    :raises SettingsError: with one line for each invalid key; for a table, its first fault only.
     """
     values = parse_toml(text)
     faults = []
@@ -159,12 +159,12 @@
 
 
 def _address(wanted: type, value: object) -> Address:
-    """Return a value of a type that msgspec does not know."""
+    """Convert a value to an address, a type that msgspec does not know."""
     return wanted(check_address(str(value)))
 
 
 def _fault_line(key: str, value: object, text: str) -> str:
-    """Return key, value and what is allowed."""
+    """Return a line with the key, its value and the reason why it is invalid."""
     place = _PLACE.search(text)
     if place is None:
         return f"{key}: {value!r}: {text}"
@@ -173,7 +173,7 @@
 
 
 def load_machine_settings(path: Path) -> MachineSettings:
-    """Read and check a machine's settings file.
+    """Read and validate a machine's settings file.
 
     :raises SettingsError: if it cannot be read or has faults.
     """
