--- a/features/machine_settings.feature
+++ b/features/machine_settings.feature
@@ -1,6 +1,6 @@
 Feature: A machine's settings are checked
-  Scenario: Unknown keys are passed over
-    Given machine settings with a key "speed_of_light" besides
+  Scenario: Unknown keys are ignored
+    Given machine settings with an additional key "speed_of_light"
     Then they are accepted
 
   Scenario Outline: A fault is named in one line and ends with exit code 2
@@ -24,4 +24,4 @@
       | 1.2     | 0        | 2    |
       | 9.0     | 0        | 8    |
       | -0.1    | 0        | 6    |
-      | untold  | 2        | 2    |
+      | unknown | 2        | 2    |
--- a/features/steps/freshness_steps.py
+++ b/features/steps/freshness_steps.py
@@ -20,9 +20,9 @@
 
 SEEDS = range(400)
 NOW_S = 1000.0
-#: Seconds between two requests of a client that goes on asking.
+#: Seconds between two requests of a client.
 PAUSE_S = 0.1
-#: Seconds after an outage in which every answer that could break the promise has come.
+#: Seconds after an outage within which every answer that could violate the bound has arrived.
 WATCHED_S = 8.0
 
 
@@ -39,8 +39,8 @@
         assert any(oldest_trust_s(seed) > 0.0 for seed in SEEDS)
 
 
-@given("a configuration that was proved {age} s ago, with bounds of 5 s and 3 s")
-def proved_ago(context: Context, age: str) -> None:
+@given("a configuration that was verified {age} s ago, with bounds of 5 s and 3 s")
+def verified_ago(context: Context, age: str) -> None:
     context.freshness = Freshness(5.0, 3.0)
     if age != "none":
         context.freshness.note_proved(NOW_S - float(age))
@@ -53,28 +53,28 @@
 
 
 class NewerStore:
-    """A store whose answers show a newer state than watches told of."""
+    """A store whose answers show a newer state than its watches returned."""
 
     def __init__(self) -> None:
-        self.asked_at = 0.0
+        self.read_at = 0.0
         self.interrupted_at = 0.0
 
     def get(self, kind: str, name: str, timeout_s: float) -> StoredObject:
         """Return the newer state."""
-        self.asked_at = self.asked_at or time.monotonic()
+        self.read_at = self.read_at or time.monotonic()
         return StoredObject(name, 7, {}, {})
 
     def interrupt_watches(self) -> None:
-        """Note when."""
+        """Record the time."""
         self.interrupted_at = self.interrupted_at or time.monotonic()
 
 
-@given("a prover whose store has a newer state than is known")
-def prover_behind(context: Context) -> None:
+@given("a verifier whose store has a newer state than the known one")
+def stale_verifier(context: Context) -> None:
     context.newer = NewerStore()
     log = DecisionLog("storage-0")
     target = ObjectName("config", "main")
-    context.prover = ObjectVerifier(
+    context.verifier = ObjectVerifier(
         context.newer,
         target,
         log,
@@ -82,20 +82,20 @@
         on_verified=lambda: None,
         on_stale=context.newer.interrupt_watches,
     )
-    context.prover.state.note_known(3)
+    context.verifier.state.note_known(3)
 
 
-@when("it has asked once")
-def asked_once(context: Context) -> None:
-    context.prover.start()
+@when("it has read once")
+def read_once(context: Context) -> None:
+    context.verifier.start()
     eventlet.sleep(0.5)
-    context.prover.stop()
+    context.verifier.stop()
 
 
-@then("the watches are begun anew within {limit_ms:d} ms")
-def begun_anew(context: Context, limit_ms: int) -> None:
+@then("the watches are restarted within {limit_ms:d} ms")
+def restarted(context: Context, limit_ms: int) -> None:
     assert context.newer.interrupted_at > 0.0
-    took_s = context.newer.interrupted_at - context.newer.asked_at
+    took_s = context.newer.interrupted_at - context.newer.read_at
     assert took_s < limit_ms / 1000.0, took_s
 
 
@@ -117,8 +117,8 @@
     world(context).store.is_down = False
 
 
-@when("the store answers no question for single objects, while watches go on")
-def gets_lost(context: Context) -> None:
+@when("the store answers no reads of single objects, while watches go on")
+def reads_lost(context: Context) -> None:
     world(context).store.loses_gets = True
     begin_outage(context)
 
@@ -209,8 +209,8 @@
         wait_until(lambda name=name: not world(context).is_ready(name), f"{name} is not ready")
 
 
-@then("the gateways logged that their own questions had no answer")
-def logged_no_proof(context: Context) -> None:
+@then("the gateways logged that their own queries failed")
+def logged_failed_queries(context: Context) -> None:
     for name in ("edge-0", "edge-1"):
         lines = [one for one in world(context).log(name) if one["kind"] == "DependencyChanged"]
         assert any(one["dependency"] == "proof/config" and not one["is_up"] for one in lines)
--- a/features/steps/machine_steps.py
+++ b/features/steps/machine_steps.py
@@ -12,7 +12,7 @@
 from yarrowwall.model import Attempt, ProgramContext
 from yarrowwall.policy.urgency import turn_rank
 
-SOUND = {
+VALID = {
     "node_id": '"edge-1"',
     "zone": '"zone-a"',
     "ip": '"10.0.0.1"',
@@ -26,9 +26,9 @@
     return "".join(f"{key} = {value}\n" for key, value in values.items())
 
 
-@given('machine settings with a key "{key}" besides')
+@given('machine settings with an additional key "{key}"')
 def settings_with(context: Context, key: str) -> None:
-    context.settings = text_of({**SOUND, key: "299792458"})
+    context.settings = text_of({**VALID, key: "299792458"})
 
 
 @then("they are accepted")
@@ -38,7 +38,7 @@
 
 @given('machine settings whose "{key}" is {value}')
 def settings_whose(context: Context, key: str, value: str) -> None:
-    values = {**SOUND, key: value}
+    values = {**VALID, key: value}
     if value == "missing":
         del values[key]
     context.settings = text_of(values)
@@ -57,7 +57,7 @@
 
 @given("a turn of a program with {seconds} s left on a route of priority {priority:d}")
 def turn_with(context: Context, seconds: str, priority: int) -> None:
-    finish_at = None if seconds == "untold" else 100.0 + float(seconds)
+    finish_at = None if seconds == "unknown" else 100.0 + float(seconds)
     program = ProgramContext("p", None, 10, None, finish_at)
     context.attempt = Attempt("a", "POST", "/", "h", [], b"", 100.0, 103.0, program)
     context.attempt.priority = priority
--- a/features/steps/platform_change_steps.py
+++ b/features/steps/platform_change_steps.py
@@ -1,4 +1,4 @@
-"""Steps about configurations, leaving servers and gateways that stop."""
+"""Steps about changed configurations, draining servers and stopping gateways."""
 
 import signal
 import time
@@ -57,13 +57,16 @@
     server = context.by_route[route][0]
     world(context).drain(server, route)
 
-    def is_told(name: str) -> bool:
+    def has_logged_drain(name: str) -> bool:
         return any(
             line["kind"] == "ServerChanged" and line["change"] == "draining"
             for line in world(context).log(name)
         )
 
-    wait_until(lambda: is_told("edge-0") and is_told("edge-1"), "the gateways know")
+    wait_until(
+        lambda: has_logged_drain("edge-0") and has_logged_drain("edge-1"),
+        "the gateways have logged the draining server",
+    )
 
 
 @then('the first server of "{route}" got none of them')
@@ -78,9 +81,11 @@
 def stop_while_waiting(context: Context, number: int, route: str) -> None:
     with ThreadPoolExecutor(1) as pool:
         waiting = pool.submit(world(context).ask, route, b"x", number)
-        wait_until(lambda: bool(arrivals(context, route)), "the request runs")
+        wait_until(lambda: bool(arrivals(context, route)), "the request has arrived at a server")
         context.stopped = world(context).kill(f"edge-{number}", signal.SIGTERM)
-        wait_until(lambda: not world(context).is_ready(f"edge-{number}"), "it is not ready")
+        wait_until(
+            lambda: not world(context).is_ready(f"edge-{number}"), "the gateway is not ready"
+        )
         context.answers = [waiting.result()]
 
 
--- a/features/steps/reader_steps.py
+++ b/features/steps/reader_steps.py
@@ -1,4 +1,4 @@
-"""Steps about machines that read the platform's store for others."""
+"""Steps about machines that read the platform store for others."""
 
 import signal
 import time
@@ -31,9 +31,9 @@
 from yarrowwall.watching.wire import ObjectEncoder, decode_changes, decode_object
 
 SEEDS = range(300)
-#: All machines of the scenarios' world stand in one zone, and this is the first by name.
+#: All machines of the scenarios are in one zone, and this reader is the first by name.
 READER = "storage-0"
-#: The store's revision at the one change of a scenario.
+#: The store's revision after the only change of a scenario.
 CHANGED_REVISION = 2
 READERS = ("storage-0", "storage-1", "storage-2")
 
@@ -46,23 +46,23 @@
 _changes_since = ObjectCache.changes_since
 
 
-def _pass_over_forgotten(self: ObjectCache, revision: int) -> Changes | None:
+def _skip_expired(self: ObjectCache, revision: int) -> Changes | None:
     return _changes_since(self, max(revision, self.oldest_revision))
 
 
-def _leave_out_partly_known(self: ObjectCache, revision: int) -> Changes | None:
+def _omit_partly_known(self: ObjectCache, revision: int) -> Changes | None:
     found = _changes_since(self, revision)
     if found is None:
         return None
-    # The revision of an object that is gone is that of its last change before.
+    # The revision of a deleted object is that of its last change before.
     newer = [change for change in found.changes if change.item.revision > revision]
     return Changes(newer, found.revision)
 
 
 MUTANTS = {
-    "the ends of objects are not told": ("apply", _apply_without_deletions),
-    "forgotten changes are passed over": ("changes_since", _pass_over_forgotten),
-    "a batch that was partly known is left out": ("changes_since", _leave_out_partly_known),
+    "deletions of objects are not returned": ("apply", _apply_without_deletions),
+    "expired changes are skipped": ("changes_since", _skip_expired),
+    "a batch that was partly known is omitted": ("changes_since", _omit_partly_known),
 }
 
 
@@ -89,8 +89,8 @@
 def known_readers(context: Context) -> None:
     names = ("b-2", "a-3", "a-1", "b-1", "a-2")
     context.readers = [Member(name, f"disk-{name}", "127.0.0.1:1", name[0]) for name in names]
-    context.order = ReaderSelection("edge-0", "a")
-    context.order.replace_all(context.readers)
+    context.selection = ReaderSelection("edge-0", "a")
+    context.selection.replace_all(context.readers)
 
 
 @then('{count:d} machines of zone "{zone}" all ask "{first}", then "{second}", then "{third}"')
@@ -105,18 +105,18 @@
 
 
 @when('"{reader}" does not answer at {now_s:f} s')
-def silent_reader(context: Context, reader: str, now_s: float) -> None:
-    context.order.note_no_answer(reader, now_s)
+def unresponsive_reader(context: Context, reader: str, now_s: float) -> None:
+    context.selection.note_no_answer(reader, now_s)
 
 
 @then('at {now_s:f} s machines of zone "{zone}" ask "{reader}" first')
 def asked_first(context: Context, now_s: float, zone: str, reader: str) -> None:
-    assert context.order.candidates(now_s)[0].node_id == reader
+    assert context.selection.candidates(now_s)[0].node_id == reader
 
 
 @when("readers have been asked for {seconds:d} s")
 def readers_asked(context: Context, seconds: int) -> None:
-    # Long enough for every machine to have left the store for a reader.
+    # Long enough for every machine to have switched from the store to a reader.
     time.sleep(seconds)
 
 
@@ -128,17 +128,17 @@
         with store.lock:
             return [name for (name, of), count in store.watching.items() if of == kind and count]
 
-    def look() -> list[list[str]]:
-        """Return who watched during a second: between two watches of a machine there is none."""
+    def watching_for_a_second() -> list[list[str]]:
+        """Return the watching machines, 50 times in a second: there are gaps between watches."""
         return [watching() for _ in range(50) if not time.sleep(0.02)]
 
     def is_settled(seen: list[list[str]]) -> bool:
         return [READER] in seen and all(found in ([], [READER]) for found in seen)
 
     end = time.monotonic() + limit
-    while not is_settled(seen := look()):
+    while not is_settled(seen := watching_for_a_second()):
         assert time.monotonic() < end, seen
-    assert is_settled(seen := look()), seen
+    assert is_settled(seen := watching_for_a_second()), seen
 
 
 def kill(context: Context) -> None:
@@ -188,7 +188,7 @@
 
 
 class _OneObject:
-    """A store with one object, whose next change comes when it is told."""
+    """A store with one object, which changes when the scenario triggers it."""
 
     def __init__(self) -> None:
         self.changed = Event()
@@ -209,7 +209,7 @@
     def interrupt_watches(
         self, opened_before_s: float = float("inf"), kind: str | None = None
     ) -> None:
-        """End nothing."""
+        """Interrupt nothing."""
 
 
 @given("a reader of a store with one configuration")
@@ -220,8 +220,8 @@
     context.reader = StoreReader(context.one_object, target, log, time.monotonic)
 
 
-@when("two questions wait for a change, the second for {wait_ms:d} ms")
-def two_questions(context: Context, wait_ms: int) -> None:
+@when("two requests wait for a change, the second for {wait_ms:d} ms")
+def two_requests(context: Context, wait_ms: int) -> None:
     context.replies = {}
     context.first_takes_s = 0.0
 
@@ -232,7 +232,7 @@
     def second(reply: ObjectsReply) -> None:
         context.replies["second"] = reply
 
-    # The reader's own first list comes before both.
+    # Waits until the reader's own first list is complete.
     context.reader.ask(ListObjects("config", 0), lambda reply: None)
     eventlet.sleep(0.05)
     context.reader.ask(WatchObjects("config", 1, 5.0), first)
@@ -249,8 +249,8 @@
     eventlet.sleep((takes_ms + 200) / 1000.0)
 
 
-@then("both are told of the change")
-def both_told(context: Context) -> None:
+@then("both get the change")
+def both_changed(context: Context) -> None:
     revisions = {
         name: [item.revision for item in reply.objects] for name, reply in context.replies.items()
     }
@@ -266,7 +266,7 @@
     return StoredObject("main", revision, {"version": revision, "routes": routes}, {})
 
 
-@given("a configuration of {count:d} routes that a reader tells")
+@given("a configuration of {count:d} routes that a reader serves")
 def large_configuration(context: Context, count: int) -> None:
     context.encoder = ObjectEncoder()
     context.item = _configuration(count, 1)
@@ -302,8 +302,8 @@
     assert decode_changes([context.encodings[-1]]) == [Change(context.item, False)]
 
 
-class _SilentStore:
-    """A store that lists once, and answers nothing more until it is told to."""
+class _UnresponsiveStore:
+    """A store that answers only while ``is_up`` is set, and counts the requests that fail."""
 
     def __init__(self) -> None:
         self.asked = 0
@@ -318,12 +318,12 @@
         self.answered.add(kind)
 
     def list(self, kind: str, timeout_s: float, allow_stale: bool = False) -> Listing:
-        """Return nothing, if it answers."""
+        """Return an empty list if the store answers."""
         self._answer(kind)
         return Listing([], 1)
 
     def watch(self, kind: str, revision: int, wait_s: float) -> Changes:
-        """Tell of nothing, if it answers."""
+        """Return no changes if the store answers."""
         self._answer(kind)
         eventlet.sleep(0.2)
         self._answer(kind)
@@ -332,7 +332,7 @@
     def interrupt_watches(
         self, opened_before_s: float = float("inf"), kind: str | None = None
     ) -> None:
-        """End nothing."""
+        """Interrupt nothing."""
 
 
 KINDS = ("config", "servers", "groups", "retirements")
@@ -340,10 +340,10 @@
 
 @given("a machine without readers whose store does not answer")
 def without_readers(context: Context) -> None:
-    context.silent = _SilentStore()
+    context.unresponsive = _UnresponsiveStore()
     log = DecisionLog("edge-0")
-    context.store = StoreClient("edge-0", "a", context.silent, None, (), log, time.monotonic)
-    # It has long known that there is no reader.
+    context.store = StoreClient("edge-0", "a", context.unresponsive, None, (), log, time.monotonic)
+    # It has been running long enough to know that there is no reader.
     context.store._started_at -= 10.0
     context.store._last_answer_at -= 10.0
 
@@ -354,22 +354,22 @@
     for kind in KINDS:
         KindFollower(context.store, kind, lambda items: None, lambda change: None, log).start()
     eventlet.sleep(0.1)
-    context.silent.is_up = False
+    context.unresponsive.is_up = False
     eventlet.sleep(4.0)
 
 
 @then("the store was asked at most {most:d} times")
 def asked_at_most(context: Context, most: int) -> None:
-    assert 1 <= context.silent.asked <= most, context.silent.asked
+    assert 1 <= context.unresponsive.asked <= most, context.unresponsive.asked
 
 
 @when("the store answers again")
 def answers_again(context: Context) -> None:
-    context.silent.answered.clear()
-    context.silent.is_up = True
+    context.unresponsive.answered.clear()
+    context.unresponsive.is_up = True
 
 
 @then("all 4 kinds are followed again within {limit:f} s")
 def followed_again(context: Context, limit: float) -> None:
     eventlet.sleep(limit)
-    assert context.silent.answered == set(KINDS), context.silent.answered
+    assert context.unresponsive.answered == set(KINDS), context.unresponsive.answered
--- a/features/steps/reader_detour_steps.py
+++ b/features/steps/relayed_reads_steps.py
@@ -1,42 +1,42 @@
-"""Steps about gateways that ask readers of the store through neighbours."""
+"""Steps about gateways that read the store through neighbours."""
 
 from behave import given, then, when
 from behave.runner import Context
 
 from features.steps.freshness_steps import take_key_away
 from features.steps.reach_steps import _metrics, cut_world
-from features.support import detour_model
-from features.support.detour_model import MUTANTS, Course, Plan, play
+from features.support import relayed_reads_model
+from features.support.relayed_reads_model import MUTANTS, Plan, Result, play
 
-#: Schedules in which a broken product has to be found.
+#: Schedules in which a mutant must be detected.
 MUTANT_SEEDS = range(30)
-LATE_PART = 0.3
-TWICE_PART = 0.3
+LATE_SHARE = 0.3
+DUPLICATE_SHARE = 0.3
 
-FATES = {
+CONDITIONS = {
     "neighbours live": {},
     "neighbours die": {"kills": True},
-    "answers come late or twice": {"late_part": LATE_PART, "twice_part": TWICE_PART},
+    "answers arrive late or twice": {"late_share": LATE_SHARE, "duplicate_share": DUPLICATE_SHARE},
 }
 
 
-@given("schedules in which {cut:d} of {gateways:d} gateways are cut off, and {fate}")
-def schedules(context: Context, cut: int, gateways: int, fate: str) -> None:
-    context.plan = Plan(gateways=gateways, cut=cut, **FATES[fate])
+@given("schedules in which {cut:d} of {gateways:d} gateways are cut off, and {condition}")
+def schedules(context: Context, cut: int, gateways: int, condition: str) -> None:
+    context.plan = Plan(gateways=gateways, cut=cut, **CONDITIONS[condition])
 
 
-def _play(context: Context, count: int) -> list[Course]:
-    context.courses = [play(seed, context.plan) for seed in range(count)]
-    return context.courses
+def _play(context: Context, count: int) -> list[Result]:
+    context.results = [play(seed, context.plan) for seed in range(count)]
+    return context.results
 
 
 @then(
     "in {count:d} of them no configuration is older than {age_s:f} s, "
     "and each version is known within {late_s:f} s"
 )
-def stays_young(context: Context, count: int, age_s: float, late_s: float) -> None:
-    courses = _play(context, count)
-    wrong = [one for one in courses if one.oldest_s > age_s or one.late_s > late_s]
+def stays_recent(context: Context, count: int, age_s: float, late_s: float) -> None:
+    results = _play(context, count)
+    wrong = [one for one in results if one.oldest_s > age_s or one.late_s > late_s]
     assert not wrong, wrong
 
 
@@ -48,19 +48,19 @@
 
 @then("no gateway trusts its configuration too long")
 def no_trust(context: Context) -> None:
-    wrong = [one for one in context.courses if one.trusted_s > 0.0]
+    wrong = [one for one in context.results if one.trusted_s > 0.0]
     assert not wrong, wrong
 
 
 @then("gateways ask directly again within {limit_s:f} s of the end")
 def directly_again(context: Context, limit_s: float) -> None:
-    assert max(one.back_s for one in context.courses) <= limit_s, context.courses
+    assert max(one.back_s for one in context.results) <= limit_s, context.results
 
 
-@then("none sends more than {most:d} messages a second to neighbours, and none in the calm")
+@then("none sends more than {most:d} messages a second to neighbours, and none without a cut")
 def few_messages(context: Context, most: int) -> None:
     _check_messages(context, most)
-    assert not any(one.asked_calm for one in context.courses), context.courses
+    assert not any(one.asked_without_cut for one in context.results), context.results
 
 
 @then("in {count:d} of them none sends more than {most:d} messages a second to neighbours")
@@ -70,12 +70,12 @@
 
 
 def _check_messages(context: Context, most: int) -> None:
-    assert 0.0 < max(one.asked for one in context.courses) <= most, context.courses
+    assert 0.0 < max(one.asked for one in context.results) <= most, context.results
 
 
-@then("no neighbour passes on more than {most:d} requests at once")
-def passed_on_at_once(context: Context, most: int) -> None:
-    assert max(one.most_under_way for one in context.courses) <= most, context.courses
+@then("no neighbour forwards more than {most:d} requests at once")
+def forwarded_at_once(context: Context, most: int) -> None:
+    assert max(one.max_in_flight for one in context.results) <= most, context.results
 
 
 @then("some of them finds that {mutant}")
@@ -84,28 +84,27 @@
         assert any(play(seed, context.plan).trusted_s > 0.0 for seed in MUTANT_SEEDS)
 
 
-@then("in {count:d} schedules in which {trouble} no gateway asks a neighbour")
-def nobody_asks(context: Context, count: int, trouble: str) -> None:
-    asked = {seed: detour_model.asked_without(trouble, seed) for seed in range(count)}
+@then("in {count:d} schedules in which {situation} no gateway asks a neighbour")
+def none_asks(context: Context, count: int, situation: str) -> None:
+    asked = {seed: relayed_reads_model.asked_without(situation, seed) for seed in range(count)}
     assert not any(asked.values()), asked
 
 
 @given(
-    "a gateway that is cut off for {seconds:d} s, whose first neighbour refuses "
-    "questions to readers"
+    "a gateway that is cut off for {seconds:d} s, whose first neighbour refuses reads of the store"
 )
 def refusing_neighbour(context: Context, seconds: int) -> None:
-    context.refusal = detour_model.refused(0, float(seconds))
+    context.refusal = relayed_reads_model.refused(0, float(seconds))
 
 
-@then("that neighbour was asked at most {most:d} times, and is not passed over")
+@then("that neighbour was asked at most {most:d} times, and is not skipped")
 def asked_seldom(context: Context, most: int) -> None:
     assert 1 <= context.refusal.asked <= most, context.refusal
-    assert not context.refusal.is_passed_over, context.refusal
+    assert not context.refusal.is_skipped, context.refusal
 
 
 @then("the configuration is younger than {limit_s:f} s")
-def is_young(context: Context, limit_s: float) -> None:
+def is_recent(context: Context, limit_s: float) -> None:
     assert context.refusal.oldest_s < limit_s, context.refusal
 
 
--- a/features/support/following_model.py
+++ b/features/support/following_model.py
@@ -1,8 +1,8 @@
-"""Machines that follow the store, on a virtual clock: the product's own code, a model around it.
+"""Machines that follow the store, on a virtual clock: the product's code between stand-ins.
 
-Gateways and readers of a deployment follow a stand-in of the store through its outages. Only
-connections, links between machines and the log are stand-ins, so each time-out, pause and
-second try is the product's.
+Gateways and readers of a deployment follow a stand-in for the store through its outages. Only
+connections, links between machines and the log are stand-ins, so all timeouts, pauses and retries
+are the product's.
 """
 
 from collections.abc import Callable, Iterator
@@ -23,7 +23,7 @@
 from yarrowwall.policy.freshness import Freshness
 from yarrowwall.ports.object_store import ObjectName, StoredObject
 from yarrowwall.replication.documents import REPLICAS_KIND, member_spec
-from yarrowwall.watching import store_client as reader_store
+from yarrowwall.watching import store_client
 from yarrowwall.watching.follower import LONG_WATCH_SECONDS, WATCH_SECONDS, KindFollower
 from yarrowwall.watching.freshness_probe import FreshnessProbe
 from yarrowwall.watching.reader import StoreReader
@@ -35,11 +35,11 @@
 RETIREMENTS = "retirements"
 #: Seconds in which a gateway may refuse by an older configuration, as on the smaller deployments.
 DENIAL_S = 2.0
-#: One way between machines, and what connecting to a machine without power takes.
-WAY_S = 0.001
-DARK_S = 0.3
-#: Seconds between two rounds of a machine's upkeep.
-UPKEEP_S = 0.3
+#: One-way delay between machines, and the time after which connecting to a dead machine fails.
+DELAY_S = 0.001
+CONNECT_TIMEOUT_S = 0.3
+#: Seconds between two rounds of a machine's maintenance.
+MAINTENANCE_S = 0.3
 
 
 class Seen(NamedTuple):
@@ -49,15 +49,15 @@
     version: int
 
 
-class Proved(NamedTuple):
-    """When a gateway learned of a proof, and the moment that is proved."""
+class Verified(NamedTuple):
+    """When a gateway learned that its configuration was verified, and as of which time."""
 
     at_s: float
-    proved_s: float
+    as_of_s: float
 
 
-class Lines:
-    """Stands for the log; keeps what is written with its moment."""
+class LogLines:
+    """Stands in for the log; keeps each decision with its time."""
 
     def __init__(self) -> None:
         self.lines: list[tuple[float, Decision]] = []
@@ -69,12 +69,12 @@
 
 @dataclass
 class Host:
-    """A machine: its processes come and go.
+    """A machine, whose process may be killed and restarted.
 
-    :ivar incarnation: number of its process; what an earlier one still does has no effect.
-    :ivar seen: what took effect in this incarnation.
-    :ivar had: the newest version of its incarnations before.
-    :ivar proved: the proofs of its configuration.
+    :ivar incarnation: number of its process; actions of earlier processes have no effect.
+    :ivar seen: versions that took effect in this incarnation.
+    :ivar newest_before: the newest version in earlier incarnations.
+    :ivar verified: the verifications of its configuration.
     """
 
     node_id: str
@@ -83,26 +83,26 @@
     is_up: bool = False
     is_frozen: bool = False
     reader: StoreReader | None = None
-    lines: Lines = field(default_factory=Lines)
+    lines: LogLines = field(default_factory=LogLines)
     seen: list[Seen] = field(default_factory=list)
-    had: int = 0
-    proved: list["Proved"] = field(default_factory=list)
+    newest_before: int = 0
+    verified: list["Verified"] = field(default_factory=list)
     running: list[Any] = field(default_factory=list)
 
 
-class _NotedFreshness(Freshness):
-    """The product's, which notes when its gateway learned of a newer proof."""
+class _RecordedFreshness(Freshness):
+    """The product's freshness, which also records the verifications of its gateway."""
 
     def __init__(self, host: Host) -> None:
         super().__init__(None, DENIAL_S)
         self._host = host
 
     def note_proved(self, at_s: float) -> None:
-        """Take in a proof."""
+        """Record a verification if it is newer."""
         before_s = self.age_s(now_s())
         super().note_proved(at_s)
         if self.age_s(now_s()) < before_s:
-            self._host.proved.append(Proved(now_s(), at_s))
+            self._host.verified.append(Verified(now_s(), at_s))
 
 
 class Links:
@@ -124,22 +124,26 @@
 
     def post(self, request: Any, complete: Callable[[object | None], None]) -> int:
         eventlet.spawn_n(
-            self._carry, request, complete, self._reader.incarnation, self._asker.incarnation
+            self._deliver, request, complete, self._reader.incarnation, self._asker.incarnation
         )
         return 0
 
     def forget(self, number: int, is_late: bool) -> None:
-        """Nothing is kept."""
+        """Do nothing, since nothing is kept for a request."""
 
-    def _carry(
-        self, request: Any, complete: Callable[[object | None], None], incarnation: int, asking: int
+    def _deliver(
+        self,
+        request: Any,
+        complete: Callable[[object | None], None],
+        incarnation: int,
+        asker_incarnation: int,
     ) -> None:
         if (self._asker.node_id, self._reader.node_id) in self._world.cuts:
             if not self._world.cuts_are_silent:
-                eventlet.sleep(DARK_S)
+                eventlet.sleep(CONNECT_TIMEOUT_S)
                 complete(None)
             return
-        eventlet.sleep(WAY_S)
+        eventlet.sleep(DELAY_S)
         if not self._reader.is_up:
             complete(None)
             return
@@ -151,25 +155,25 @@
         self._world.waiting.append((self._reader, incarnation, complete))
 
         def reply(found: object) -> None:
-            eventlet.spawn_n(self._bring, found, complete, incarnation, asking)
+            eventlet.spawn_n(self._return_reply, found, complete, incarnation, asker_incarnation)
 
         self._reader.reader.ask(request, reply)
 
-    def _bring(
+    def _return_reply(
         self,
         found: object,
         complete: Callable[[object | None], None],
         incarnation: int,
-        asking: int,
+        asker_incarnation: int,
     ) -> None:
-        eventlet.sleep(WAY_S)
+        eventlet.sleep(DELAY_S)
         while self._reader.is_frozen and self._reader.incarnation == incarnation:
             eventlet.sleep(0.05)
         is_cut = (self._asker.node_id, self._reader.node_id) in self._world.cuts
         if (
             not is_cut
             and self._reader.incarnation == incarnation
-            and self._asker.incarnation == asking
+            and self._asker.incarnation == asker_incarnation
         ):
             complete(found)
 
@@ -181,7 +185,7 @@
         self.store = StoreStandIn()
         self.hosts: dict[str, Host] = {}
         self.cuts: set[tuple[str, str]] = set()
-        #: Whether what is sent over a cut is lost; else connecting to the machine fails.
+        #: Whether requests over a cut link are lost; otherwise connecting fails.
         self.cuts_are_silent = False
         self.waiting: list[tuple[Host, int, Callable[[object | None], None]]] = []
         self.acknowledged: list[Seen] = []
@@ -206,7 +210,7 @@
         return [host for host in self.hosts.values() if host.node_id.startswith("storage")]
 
     def publish(self) -> int:
-        """Write and acknowledge the next configuration; the store must be there."""
+        """Write and acknowledge the next configuration; the store must be available."""
         self._version += 1
         self.store.put(*CONFIG, {"version": self._version})
         self.acknowledged.append(Seen(now_s(), self._version))
@@ -229,7 +233,7 @@
         direct = self._client(host)
         is_reader = host in self.readers
         host.reader = self._make_reader(host) if is_reader else None
-        with patch.object(reader_store, "LinkTable", lambda log, now: Links(self, host)):
+        with patch.object(store_client, "LinkTable", lambda log, now: Links(self, host)):
             store = StoreClient(
                 host.node_id,
                 host.zone,
@@ -245,12 +249,12 @@
             self._follow(host, store, GROUPS, LONG_WATCH_SECONDS)
             self._follow(host, store, REPLICAS_KIND, LONG_WATCH_SECONDS)
             self._follow(host, store, RETIREMENTS, WATCH_SECONDS)
-            eventlet.spawn_n(self._keep_reader, host, host.incarnation)
+            eventlet.spawn_n(self._maintain_reader, host, host.incarnation)
         else:
             self._start_gateway(host, store)
 
     def _connect(self, host: Host, store: StoreClient) -> None:
-        """Give a machine's store further ways; here there are none."""
+        """Connect a machine's store client to neighbours; does nothing in this class."""
 
     def _make_reader(self, host: Host) -> StoreReader:
         log: Any = host.lines
@@ -259,19 +263,19 @@
     def _client(self, host: Host) -> PlatformStore:
         return _Client(self, host, host.incarnation)
 
-    def _keep_reader(self, host: Host, incarnation: int) -> None:
+    def _maintain_reader(self, host: Host, incarnation: int) -> None:
         while host.incarnation == incarnation and host.reader is not None:
             host.reader.stop_idle_kinds()
-            eventlet.sleep(UPKEEP_S)
+            eventlet.sleep(MAINTENANCE_S)
 
     def _start_gateway(self, host: Host, store: StoreClient) -> None:
         log: Any = host.lines
         incarnation = host.incarnation
-        freshness = _NotedFreshness(host)
+        freshness = _RecordedFreshness(host)
 
         def take(item: StoredObject) -> None:
             if host.incarnation == incarnation:
-                self._note_seen(host, item.spec["version"])
+                self._record_version(host, item.spec["version"])
 
         def take_all(items: list[StoredObject]) -> None:
             for item in items:
@@ -291,7 +295,7 @@
         probe = FreshnessProbe(host.node_id, store, CONFIG, freshness, take, log, now_s)
         probe.start()
 
-    def _note_seen(self, host: Host, version: int) -> None:
+    def _record_version(self, host: Host, version: int) -> None:
         if not host.seen or host.seen[-1].version < version:
             host.seen.append(Seen(now_s(), version))
 
@@ -308,11 +312,11 @@
         ).start()
 
     def kill(self, host: Host) -> None:
-        """End a machine's process at once."""
+        """Kill a machine's process."""
         host.incarnation += 1
         host.is_up = False
         host.reader = None
-        host.had = max([host.had, *(seen.version for seen in host.seen)])
+        host.newest_before = max([host.newest_before, *(seen.version for seen in host.seen)])
         host.seen = []
         for reader, incarnation, complete in self.waiting:
             if reader is host and incarnation == host.incarnation - 1:
@@ -321,7 +325,7 @@
 
 
 class _Client(PlatformStore):
-    """The product's client of one process; it does nothing once that process has ended."""
+    """The product's client of one process, which stops working once that process has ended."""
 
     def __init__(self, world: FollowingWorld, host: Host, incarnation: int) -> None:
         super().__init__(host.node_id, now_s)
@@ -330,20 +334,20 @@
         self._incarnation = incarnation
 
     def _call(self, *args: Any, **kwargs: Any) -> Any:
-        self._stay_dead()
+        self._block_if_ended()
         try:
             return super()._call(*args, **kwargs)
         finally:
-            self._stay_dead()
+            self._block_if_ended()
 
-    def _stay_dead(self) -> None:
+    def _block_if_ended(self) -> None:
         while self._host.incarnation != self._incarnation:
             Event().wait()
 
 
 @contextmanager
 def connections_to(world: FollowingWorld) -> Iterator[None]:
-    """Let the product's client of the store open stand-in connections."""
+    """Make the product's store client open stand-in connections."""
 
     def connect(address: str, timeout: float) -> StandInConnection:
         return StandInConnection(world.store, address, timeout)
--- a/features/support/following_schedules.py
+++ b/features/support/following_schedules.py
@@ -1,4 +1,4 @@
-"""Random schedules of troubles that overlap, and how long a configuration takes to be in force."""
+"""Random schedules of overlapping failures, and how long a configuration takes to be in force."""
 
 import random
 from collections.abc import Callable
@@ -11,19 +11,19 @@
 from features.support.virtual_time import now_s, run_virtually
 from yarrowwall.decisions import DependencyChanged
 
-#: Seconds from the start until troubles begin, and of the calm after the last.
+#: Seconds from the start until failures begin, and seconds without failures after the last one.
 CALM_S = 6.0
 SETTLE_S = 9.0
-#: Part of the gateways that die together.
-HERD_PART = 0.55
-#: Seconds until a process that was killed starts again.
+#: Fraction of the gateways that are killed together.
+KILLED_SHARE = 0.55
+#: Seconds until a killed process restarts.
 RESTART_S = 1.0
 
 
 class Late(NamedTuple):
     """How long a version took to be in force at a gateway.
 
-    :ivar lag_s: from its acknowledgement, or from the last moment at which trouble excuses it.
+    :ivar lag_s: from its acknowledgement, or from the end of the last failure that excuses it.
     """
 
     lag_s: float
@@ -32,27 +32,27 @@
 
 
 class Outcome(NamedTuple):
-    """What a schedule came to."""
+    """Outcome of a schedule."""
 
     seed: int
-    trouble: str
+    failure: str
     worst: Late
-    went_back: bool
+    returned_to_older: bool
     calls: int
 
 
-def _went_back(host: Host) -> bool:
-    """Return whether a gateway went by an older version than before, also across a start."""
-    versions = [host.had, *(seen.version for seen in host.seen)]
+def _returned_to_older(host: Host) -> bool:
+    """Return whether a gateway returned to an older version, also across a restart."""
+    versions = [host.newest_before, *(seen.version for seen in host.seen)]
     return versions != sorted(versions)
 
 
 class _Schedule:
-    def __init__(self, seed: int, trouble: str, gateways: int = 8) -> None:
-        self.rng = random.Random(f"{seed} {trouble}")
+    def __init__(self, seed: int, failure: str, gateways: int = 8) -> None:
+        self.rng = random.Random(f"{seed} {failure}")
         self.world = FollowingWorld(gateways)
         self.excused_until_s: dict[str, float] = {}
-        self.trouble = trouble
+        self.failure = failure
         self.seed = seed
 
     def play(self) -> Outcome:
@@ -62,13 +62,13 @@
         eventlet.sleep(CALM_S + self.rng.random())
         world.publish()
         eventlet.sleep(0.5 + self.rng.random())
-        TROUBLES[self.trouble](self)
+        FAILURES[self.failure](self)
         eventlet.sleep(SETTLE_S)
         lates = [
             self._late(host, version, at) for host in world.gateways for at, version in self._due()
         ]
-        went_back = any(_went_back(host) for host in world.gateways)
-        return Outcome(self.seed, self.trouble, max(lates), went_back, world.store.calls)
+        returned_to_older = any(_returned_to_older(host) for host in world.gateways)
+        return Outcome(self.seed, self.failure, max(lates), returned_to_older, world.store.calls)
 
     def _due(self) -> list[tuple[float, int]]:
         return [(at, version) for at, version in self.world.acknowledged if version > 1]
@@ -81,20 +81,20 @@
             return Late(float("inf"), host.node_id, version)
         return Late(min(known) - due_s, host.node_id, version)
 
-    # Parts of troubles
+    # Steps of failures
 
     def excuse(self, host: Host | None = None) -> None:
-        """Note that trouble kept a machine, or all, from knowing until now."""
+        """Note that a failure kept a machine, or all, from learning of changes until now."""
         self.excused_until_s[host.node_id if host else ""] = now_s()
 
     def outage(self, how: Outage, seconds: float) -> None:
-        self.world.store.go_away(how)
+        self.world.store.begin_outage(how)
         eventlet.sleep(seconds)
-        self.world.store.come_back()
+        self.world.store.end_outage()
         self.excuse()
 
-    def row(self) -> None:
-        """Acknowledge changes that waited, one after the other."""
+    def acknowledge_burst(self) -> None:
+        """Acknowledge pending changes, one after the other."""
         eventlet.sleep(self.rng.uniform(0.0, 0.5))
         for _ in range(self.rng.randint(1, 5)):
             self.world.publish()
@@ -109,88 +109,88 @@
 
         eventlet.spawn_after(seconds, start)
 
-    def herd(self) -> None:
+    def kill_gateways(self) -> None:
         gateways = self.world.gateways
-        for host in self.rng.sample(gateways, int(len(gateways) * HERD_PART)):
+        for host in self.rng.sample(gateways, int(len(gateways) * KILLED_SHARE)):
             self.kill(host)
 
-    def any_way(self) -> Outage:
+    def any_outage(self) -> Outage:
         return self.rng.choice(list(Outage))
 
 
 def _outage(schedule: _Schedule) -> None:
-    schedule.outage(schedule.any_way(), schedule.rng.uniform(1.0, 15.0))
-    schedule.row()
+    schedule.outage(schedule.any_outage(), schedule.rng.uniform(1.0, 15.0))
+    schedule.acknowledge_burst()
 
 
-def _outage_and_herd(schedule: _Schedule) -> None:
+def _outage_and_killed_gateways(schedule: _Schedule) -> None:
     seconds = schedule.rng.uniform(2.5, 15.0)
-    eventlet.spawn_after(schedule.rng.uniform(0.2, seconds - 1.2), schedule.herd)
-    schedule.outage(schedule.any_way(), seconds)
-    schedule.row()
+    eventlet.spawn_after(schedule.rng.uniform(0.2, seconds - 1.2), schedule.kill_gateways)
+    schedule.outage(schedule.any_outage(), seconds)
+    schedule.acknowledge_burst()
 
 
 def _two_outages(schedule: _Schedule) -> None:
     for _ in range(2):
-        schedule.outage(schedule.any_way(), schedule.rng.uniform(0.5, 6.0))
-        schedule.row()
+        schedule.outage(schedule.any_outage(), schedule.rng.uniform(0.5, 6.0))
+        schedule.acknowledge_burst()
         eventlet.sleep(schedule.rng.uniform(0.1, 2.0))
 
 
 def _outage_and_readers(schedule: _Schedule) -> None:
-    """Readers die within the outage and are back before its end."""
+    """Readers are killed in the outage and have restarted before its end."""
     seconds = schedule.rng.uniform(3.0, 12.0)
     for host in schedule.world.readers:
         if schedule.rng.random() < 0.7:
             at = schedule.rng.uniform(0.1, seconds - 1.5)
             eventlet.spawn_after(at, schedule.kill, host)
-    schedule.outage(schedule.any_way(), seconds)
-    schedule.row()
+    schedule.outage(schedule.any_outage(), seconds)
+    schedule.acknowledge_burst()
 
 
 def _drop_history(schedule: _Schedule) -> None:
-    """Let watches hear nothing for a second while changes are made, then drop the history."""
-    schedule.world.store.tell_nothing()
+    """Withhold changes from watches for up to a second, then drop the history."""
+    schedule.world.store.withhold_changes()
     eventlet.sleep(schedule.rng.uniform(0.0, 0.5))
     schedule.world.publish()
     eventlet.sleep(schedule.rng.uniform(0.0, 0.5))
-    schedule.world.store.forget_history()
+    schedule.world.store.drop_history()
 
 
 def _history_dropped(schedule: _Schedule) -> None:
     _drop_history(schedule)
-    schedule.row()
-    schedule.outage(schedule.any_way(), schedule.rng.uniform(1.0, 6.0))
+    schedule.acknowledge_burst()
+    schedule.outage(schedule.any_outage(), schedule.rng.uniform(1.0, 6.0))
     _drop_history(schedule)
-    schedule.row()
+    schedule.acknowledge_burst()
 
 
 def _slow_afterwards(schedule: _Schedule) -> None:
-    """The store answers 60 times as slowly once it is back."""
+    """The store answers 60 times as slowly after it has recovered."""
     schedule.world.store.slow_s = 0.24
-    schedule.outage(schedule.any_way(), schedule.rng.uniform(1.0, 8.0))
-    schedule.row()
+    schedule.outage(schedule.any_outage(), schedule.rng.uniform(1.0, 8.0))
+    schedule.acknowledge_burst()
     eventlet.sleep(3.0)
     schedule.world.store.slow_s = 0.0
 
 
-def _readers_turned_away(schedule: _Schedule) -> None:
-    """The store serves gateways and operators, and no reader."""
+def _readers_blocked(schedule: _Schedule) -> None:
+    """The store serves gateways and operators, but no reader."""
     for host in schedule.world.readers:
-        schedule.world.store.turn_away(host.node_id, schedule.any_way())
+        schedule.world.store.block(host.node_id, schedule.any_outage())
     eventlet.sleep(schedule.rng.uniform(0.0, 3.0))
-    schedule.row()
+    schedule.acknowledge_burst()
     eventlet.sleep(schedule.rng.uniform(2.5, 5.0))
     for host in schedule.world.readers:
-        schedule.world.store.let_in(host.node_id)
+        schedule.world.store.unblock(host.node_id)
 
 
-def _gateways_turned_away(schedule: _Schedule) -> None:
-    """The store serves readers and operators, and no gateway."""
+def _gateways_blocked(schedule: _Schedule) -> None:
+    """The store serves readers and operators, but no gateway."""
     for host in schedule.world.gateways:
-        schedule.world.store.turn_away(host.node_id, schedule.any_way())
+        schedule.world.store.block(host.node_id, schedule.any_outage())
     eventlet.sleep(schedule.rng.uniform(0.0, 3.0))
-    schedule.row()
+    schedule.acknowledge_burst()
     eventlet.sleep(schedule.rng.uniform(2.5, 5.0))
 
 
@@ -198,57 +198,57 @@
     host = schedule.rng.choice(schedule.world.readers)
     host.is_frozen = True
     eventlet.sleep(schedule.rng.uniform(0.0, 1.0))
-    schedule.row()
+    schedule.acknowledge_burst()
     eventlet.sleep(schedule.rng.uniform(2.5, 4.0))
     host.is_frozen = False
-    schedule.row()
+    schedule.acknowledge_burst()
 
 
 def _reader_killed(schedule: _Schedule) -> None:
     host = schedule.rng.choice(schedule.world.readers)
     schedule.kill(host, schedule.rng.uniform(0.5, 4.0))
-    schedule.row()
+    schedule.acknowledge_burst()
     eventlet.sleep(3.0)
-    schedule.row()
+    schedule.acknowledge_burst()
 
 
 def _gateways_killed(schedule: _Schedule) -> None:
-    """Gateways die right after a change took effect there."""
+    """Gateways are killed right after a change took effect there."""
     for _ in range(3):
-        schedule.row()
+        schedule.acknowledge_burst()
         eventlet.sleep(schedule.rng.uniform(0.0, 0.3))
-        schedule.herd()
+        schedule.kill_gateways()
         eventlet.sleep(schedule.rng.uniform(RESTART_S, 3.0))
 
 
 def _cut_from_readers(schedule: _Schedule) -> None:
-    """Gateways hear no reader, and reach the store."""
+    """Gateways reach the store but no reader."""
     for gateway in schedule.world.gateways:
         for reader in schedule.world.readers:
             schedule.world.cuts.add((gateway.node_id, reader.node_id))
     eventlet.sleep(schedule.rng.uniform(0.0, 2.0))
-    schedule.row()
+    schedule.acknowledge_burst()
     eventlet.sleep(schedule.rng.uniform(2.5, 5.0))
     schedule.world.cuts.clear()
-    schedule.row()
+    schedule.acknowledge_burst()
 
 
-TROUBLES: dict[str, Callable[[_Schedule], None]] = {
+FAILURES: dict[str, Callable[[_Schedule], None]] = {
     "outage": _outage,
-    "outage, half of the gateways killed": _outage_and_herd,
+    "outage, half of the gateways killed": _outage_and_killed_gateways,
     "two outages": _two_outages,
     "outage, readers killed": _outage_and_readers,
     "history dropped": _history_dropped,
     "slow after an outage": _slow_afterwards,
-    "readers turned away": _readers_turned_away,
+    "readers turned away": _readers_blocked,
     "gateways killed": _gateways_killed,
-    "gateways turned away": _gateways_turned_away,
+    "gateways turned away": _gateways_blocked,
     "a reader frozen": _reader_frozen,
     "a reader killed": _reader_killed,
     "cut off from the readers": _cut_from_readers,
 }
 
-#: Those in which the store is away for all and comes back.
+#: Failures in which the store is unavailable to all and recovers.
 OUTAGES = (
     "outage",
     "outage, half of the gateways killed",
@@ -259,11 +259,11 @@
 )
 
 
-def play(seed: int, trouble: str) -> Outcome:
+def play(seed: int, failure: str) -> Outcome:
     """Play one schedule on a virtual clock."""
 
     def run() -> Outcome:
-        schedule = _Schedule(seed, trouble)
+        schedule = _Schedule(seed, failure)
         with connections_to(schedule.world):
             return schedule.play()
 
@@ -271,7 +271,7 @@
 
 
 def readers_left_after(seed: int, since_s: float) -> list[str]:
-    """Play two silent outages; return which readers are left how long after the last one."""
+    """Play two silent outages; return which readers gateways leave how long after the last one."""
 
     def run() -> list[str]:
         schedule = _Schedule(seed, "two outages")
@@ -290,58 +290,62 @@
     schedule.outage(Outage.SILENT, schedule.rng.uniform(1.0, 6.0))
     eventlet.sleep(schedule.rng.uniform(0.1, 1.0))
     schedule.outage(Outage.SILENT, schedule.rng.uniform(0.5, 3.0))
-    back_s = now_s()
-    schedule.row()
+    recovered_s = now_s()
+    schedule.acknowledge_burst()
     eventlet.sleep(SETTLE_S)
     return [
-        f"{host.node_id} leaves {line.dependency} at {at - back_s:.2f} s"
+        f"{host.node_id} leaves {line.dependency} at {at - recovered_s:.2f} s"
         for host in world.gateways
         for at, line in host.lines.lines
-        if isinstance(line, DependencyChanged) and at > back_s + since_s
+        if isinstance(line, DependencyChanged) and at > recovered_s + since_s
         if line.dependency.startswith("reader/") and not line.is_up
     ]
 
 
-class Return(NamedTuple):
-    """How gateways came to a proof after the store had been away.
+class Recovery(NamedTuple):
+    """How gateways verified their configurations after an outage of the store.
 
-    :ivar lags_s: from the store's return to the first proof, of each gateway.
-    :ivar calls: to the store in the outage and the second behind it.
+    :ivar lags_s: seconds from the recovery to the first verification, of each gateway.
+    :ivar calls: calls to the store in the outage and the second after it.
     """
 
     lags_s: list[float]
     calls: int
 
 
-def proofs_after(seed: int, how: Outage, gateways: int = 8) -> Return:
-    """Play an outage; return how soon each gateway has a proof from after the store's return."""
+def verifications_after(seed: int, how: Outage, gateways: int = 8) -> Recovery:
+    """Play an outage; return how soon each gateway verified its configuration after it."""
 
-    def run() -> Return:
+    def run() -> Recovery:
         schedule = _Schedule(seed, "outage", gateways)
         with connections_to(schedule.world):
-            return _proofs_after(schedule, how)
+            return _verifications_after(schedule, how)
 
-    found: Return = run_virtually(run)
+    found: Recovery = run_virtually(run)
     return found
 
 
-def _proofs_after(schedule: _Schedule, how: Outage) -> Return:
+def _verifications_after(schedule: _Schedule, how: Outage) -> Recovery:
     world = schedule.world
     world.publish()
     world.start_all()
     eventlet.sleep(CALM_S + schedule.rng.random())
     before = world.store.calls
     schedule.outage(how, schedule.rng.uniform(1.0, 8.0))
-    back_s = now_s()
+    recovered_s = now_s()
     eventlet.sleep(1.0)
     calls = world.store.calls - before
     eventlet.sleep(SETTLE_S)
     lags_s = [
-        # A question that is sent while the store comes back is answered too.
+        # A request that is sent right before the recovery is answered too.
         next(
-            (seen.at_s - back_s for seen in host.proved if seen.proved_s >= back_s - ANSWER_S),
+            (
+                seen.at_s - recovered_s
+                for seen in host.verified
+                if seen.as_of_s >= recovered_s - ANSWER_S
+            ),
             float("inf"),
         )
         for host in world.gateways
     ]
-    return Return(lags_s, calls)
+    return Recovery(lags_s, calls)
--- a/features/support/following_store.py
+++ b/features/support/following_store.py
@@ -1,7 +1,7 @@
-"""A stand-in of the platform's store for the product's own client, on a virtual clock.
+"""Stand-in for the platform store that the product's own client uses, on a virtual clock.
 
-It speaks through connections as the client sees them: what a fault does to the store, it does
-to connections. So time-outs, pauses and second tries are those of the product.
+It is reached through stand-in connections, to which its faults are applied. So timeouts, pauses and
+retries are those of the product.
 """
 
 import json
@@ -24,13 +24,13 @@
 
 #: Seconds until an answer of a healthy store has arrived.
 ANSWER_S = 0.004
-#: How old the answer to a question is that may be answered from a copy.
+#: Age of the answer to a list that may be stale.
 STALE_S = 3.0
 _OK, _NOT_FOUND, _GONE, _BUSY = 200, 404, 410, 503
 
 
 class Outage(Enum):
-    """What a store that is away does with a call."""
+    """How an unavailable store treats a call."""
 
     SILENT = "silent"
     RESET = "reset"
@@ -38,7 +38,7 @@
 
 
 class _Copy(NamedTuple):
-    """The objects of a kind as they stood once."""
+    """The objects of a kind at an earlier time."""
 
     at_s: float
     revision: int
@@ -46,24 +46,24 @@
 
 
 class StoreStandIn:
-    """Objects, their history and the watches that wait for it."""
+    """Objects, the history of their changes, and the watches that wait for changes."""
 
     def __init__(self) -> None:
         self.revision = 1
         self._items: dict[str, dict[str, dict[str, Any]]] = {}
         self._history: dict[str, deque[tuple[int, dict[str, Any]]]] = {}
         self._dropped: dict[str, int] = {}
-        # In order, as sets of objects have none that repeats.
+        # Lists, since the order of a set is not reproducible.
         self._watches: dict[str, list[Event]] = {}
         self.outage: Outage | None = None
-        self.turned_away: dict[str, Outage] = {}
+        self.blocked: dict[str, Outage] = {}
         self.slow_s = 0.0
         self.calls = 0
         self._copies: dict[str, list[_Copy]] = {}
-        self._is_quiet = False
+        self._withholds_changes = False
         self._connections: dict[StandInConnection, None] = {}
 
-    # What operators and servers do
+    # Writes
 
     def put(self, kind: str, name: str, spec: dict[str, Any]) -> int:
         """Write an object; return its revision."""
@@ -75,7 +75,7 @@
         return self.revision
 
     def remove(self, kind: str, name: str) -> None:
-        """Take an object away."""
+        """Delete an object."""
         document = self._items.get(kind, {}).pop(name, None)
         if document is not None:
             self.revision += 1
@@ -85,7 +85,7 @@
         self._history.setdefault(kind, deque()).append((self.revision, event))
         items = list(self._items.get(kind, {}).values())
         self._copies.setdefault(kind, []).append(_Copy(now_s(), self.revision, items))
-        if not self._is_quiet:
+        if not self._withholds_changes:
             self._wake(kind)
 
     def _wake(self, kind: str) -> None:
@@ -95,57 +95,57 @@
 
     # Faults
 
-    def go_away(self, how: Outage) -> None:
-        """Begin an outage; watches that wait are lost, with or without a word."""
+    def begin_outage(self, how: Outage) -> None:
+        """Begin an outage; waiting watches are lost, silently or with an error."""
         self.outage = how
         for connection in list(self._connections):
-            connection.lose(how)
+            connection.apply_outage(how)
 
-    def come_back(self) -> None:
-        """End the outage; what was lost in it stays lost."""
+    def end_outage(self) -> None:
+        """End the outage; calls that were lost in it stay lost."""
         self.outage = None
 
-    def turn_away(self, node: str, how: Outage) -> None:
-        """Let one machine reach the store no more."""
-        self.turned_away[node] = how
+    def block(self, node: str, how: Outage) -> None:
+        """Make the store unavailable to one machine."""
+        self.blocked[node] = how
         for connection in list(self._connections):
             if connection.node == node:
-                connection.lose(how)
+                connection.apply_outage(how)
 
-    def let_in(self, node: str) -> None:
-        """Let a machine reach the store again."""
-        self.turned_away.pop(node, None)
+    def unblock(self, node: str) -> None:
+        """Make the store available to a machine again."""
+        self.blocked.pop(node, None)
 
-    def tell_nothing(self) -> None:
-        """Let watches hear nothing, as a store does before it drops its history."""
-        self._is_quiet = True
+    def withhold_changes(self) -> None:
+        """Withhold changes from watches, as a store does before it drops its history."""
+        self._withholds_changes = True
 
-    def forget_history(self) -> None:
-        """Drop all that changed so far, and cut the watches that wait for more."""
-        self._is_quiet = False
+    def drop_history(self) -> None:
+        """Drop the history, and cut the connections of waiting watches."""
+        self._withholds_changes = False
         for kind, history in self._history.items():
             history.clear()
             self._dropped[kind] = self.revision
         for connection in list(self._connections):
             if connection.is_watching:
-                connection.lose(Outage.RESET)
+                connection.apply_outage(Outage.RESET)
 
     # Answers
 
-    def trouble_of(self, node: str) -> Outage | None:
-        """Return what keeps a machine from being answered."""
-        return self.outage or self.turned_away.get(node)
+    def outage_of(self, node: str) -> Outage | None:
+        """Return the outage that affects a machine; None if there is none."""
+        return self.outage or self.blocked.get(node)
 
-    def note_open(self, connection: "StandInConnection") -> None:
-        """Note a connection."""
+    def add_connection(self, connection: "StandInConnection") -> None:
+        """Add a connection."""
         self._connections[connection] = None
 
-    def note_closed(self, connection: "StandInConnection") -> None:
-        """Forget a connection."""
+    def remove_connection(self, connection: "StandInConnection") -> None:
+        """Remove a connection."""
         self._connections.pop(connection, None)
 
     def answer(self, target: str) -> tuple[int, dict[str, Any]]:
-        """Answer a read; waits as long as a watch does."""
+        """Return the status and content of a read; a watch waits for a change."""
         parts = urlsplit(target)
         query = {name: found[0] for name, found in parse_qs(parts.query).items()}
         names = [unquote(part) for part in parts.path.split("/")[2:]]
@@ -173,10 +173,10 @@
                 return _GONE, {}
             events = [event for at, event in self._history.get(kind, ()) if at > since]
             left_s = end_s - now_s()
-            if self._is_quiet:
+            if self._withholds_changes:
                 events = []
             if events or left_s <= 0.0:
-                at = since if self._is_quiet else self.revision
+                at = since if self._withholds_changes else self.revision
                 return _OK, {"events": events, "at": at}
             waiting = Event()
             self._watches.setdefault(kind, []).append(waiting)
@@ -184,7 +184,7 @@
 
 
 class StandInConnection:
-    """A connection to the stand-in with the face of the product's ``ServerConnection``."""
+    """A connection to the stand-in with the interface of the product's ``ServerConnection``."""
 
     is_reusable = True
 
@@ -195,21 +195,21 @@
         self._answer: Event | None = None
         self._is_silent = False
         self._is_closed = False
-        trouble = store.trouble_of(node)
-        if trouble is Outage.SILENT:
+        outage = store.outage_of(node)
+        if outage is Outage.SILENT:
             eventlet.sleep(timeout)
             raise ConnectTimeoutError("no connection in time")
         eventlet.sleep(ANSWER_S / 2)
-        if trouble is Outage.RESET:
+        if outage is Outage.RESET:
             raise ConnectError("refused")
-        store.note_open(self)
+        store.add_connection(self)
 
     def has_no_pending_input(self) -> bool:
         """Return whether it may still be used."""
         return not self._is_closed
 
-    def lose(self, how: Outage) -> None:
-        """Take a fault: no word more, or an end."""
+    def apply_outage(self, how: Outage) -> None:
+        """Apply an outage: lose all later answers, or break the connection."""
         if how is Outage.SILENT:
             self._is_silent = True
         elif how is Outage.RESET or self.is_watching:
@@ -225,10 +225,10 @@
 
     def _reply(self, target: str, answer: Event) -> None:
         eventlet.sleep(ANSWER_S / 2)
-        if self._is_silent or self._store.trouble_of(self.node) is Outage.SILENT:
+        if self._is_silent or self._store.outage_of(self.node) is Outage.SILENT:
             self._is_silent = True
             return
-        if self._store.trouble_of(self.node) is Outage.BUSY:
+        if self._store.outage_of(self.node) is Outage.BUSY:
             found = (_BUSY, {})
         else:
             found = self._store.answer(target)
@@ -252,17 +252,17 @@
         return json.dumps(self._found[1]).encode()
 
     def finish_response(self) -> None:
-        """Leave the answer."""
+        """Finish reading the answer."""
         self.is_watching = False
 
     def interrupt(self) -> None:
-        """End the connection under whoever reads it."""
+        """Close the connection while it is being read."""
         self._is_closed = True
-        self._store.note_closed(self)
+        self._store.remove_connection(self)
         if self._answer is not None and not self._answer.ready():
             self._answer.send(None)
 
     def close(self) -> None:
         """Close the connection."""
         self._is_closed = True
-        self._store.note_closed(self)
+        self._store.remove_connection(self)
--- a/features/support/freshness_model.py
+++ b/features/support/freshness_model.py
@@ -1,6 +1,6 @@
-"""Random histories of a configuration, of a reader that asks for it and of its asker.
+"""Random histories of a configuration, of a reader that follows it and of a gateway that asks it.
 
-Nothing here does I/O; the reader's and the gateway's clocks differ by minutes.
+Nothing here does I/O; the clocks of the reader and the gateway differ by minutes.
 """
 
 import random
@@ -19,7 +19,7 @@
 
 @dataclass(order=True)
 class Step:
-    """Something that happens at a moment of the world's time."""
+    """An event at a time of the simulation."""
 
     at_s: float
     order: int
@@ -28,12 +28,12 @@
 
 
 def _delay_s(rng: random.Random) -> float:
-    """Return a delay that is short mostly, and seconds now and then."""
+    """Return a delay that is mostly short, and sometimes several seconds."""
     return rng.uniform(1.0, 6.0) if rng.random() < 0.15 else rng.uniform(0.0, 0.1)
 
 
 def plan(rng: random.Random) -> tuple[list[float], list[Step]]:
-    """Return when changes were acknowledged, and what happens in which order."""
+    """Return when changes were acknowledged, and the events in order of time."""
     changed_s = sorted(rng.uniform(0.0, END_S) for _ in range(CHANGES))
     steps: list[Step] = []
 
@@ -41,7 +41,7 @@
         steps.append(Step(at_s, len(steps), kind, values))
 
     for number, at_s in enumerate(changed_s, start=1):
-        add(at_s + _delay_s(rng), "reader told", number)
+        add(at_s + _delay_s(rng), "reader received", number)
     at_s = 0.0
     while at_s < END_S:
         seen_s = at_s + _delay_s(rng)
@@ -61,32 +61,36 @@
 def oldest_trust_s(seed: int) -> float:
     """Play a random history; return by how many seconds a gateway trusted its state too long.
 
-    Zero if it knew all that was acknowledged before the moment that it held to be proved.
+    Zero if it knew every change acknowledged before the time as of which it was verified.
     """
     rng = random.Random(seed)
     changed_s, steps = plan(rng)
-    proof = VerifiedState()
+    state = VerifiedState()
     freshness = Freshness(5.0, 3.0)
     known = 0
     heard: list[tuple[float, int, ObjectsReply, float]] = []
     worst_s = 0.0
     for step in steps:
-        if step.kind == "reader told":
-            # A reader that is told of a change was told of all earlier ones.
+        if step.kind == "reader received":
+            # A reader that received a change has received all earlier ones.
             known = max(known, int(step.values[0]))
-            proof.note_known(known)
+            state.note_known(known)
         elif step.kind == "store answered":
             sent_s, seen_s, answered_s = step.values
             revision = sum(at_s <= seen_s for at_s in changed_s)
-            _note_answer(proof, revision, sent_s, answered_s)
+            _note_answer(state, revision, sent_s, answered_s)
         else:
             sent_s, arrived_s, _, heard_s = step.values
-            proved_s = proof.verified_at_s
-            after_s = None if proved_s is None else proved_s - (arrived_s + READER_CLOCK_S)
+            state_verified_s = state.verified_at_s
+            after_s = (
+                None
+                if state_verified_s is None
+                else state_verified_s - (arrived_s + READER_CLOCK_S)
+            )
             reply = ObjectsReply(ObjectsStatus.OK, [], known, after_s)
             heard.append((heard_s, known, reply, sent_s))
     for heard_s, revision, reply, sent_s in sorted(heard, key=lambda one: one[0]):
-        verified_at_s = _proved_at_s(reply, sent_s + GATEWAY_CLOCK_S, heard_s + GATEWAY_CLOCK_S)
+        verified_at_s = _verified_at_s(reply, sent_s + GATEWAY_CLOCK_S, heard_s + GATEWAY_CLOCK_S)
         if verified_at_s is None:
             continue
         freshness.note_proved(verified_at_s)
@@ -98,34 +102,36 @@
     return worst_s
 
 
-def _note_answer(proof: VerifiedState, revision: int, sent_s: float, answered_s: float) -> None:
-    proof.note_answer(revision, sent_s + READER_CLOCK_S)
+def _note_answer(state: VerifiedState, revision: int, sent_s: float, answered_s: float) -> None:
+    state.note_answer(revision, sent_s + READER_CLOCK_S)
 
 
-def _proved_at_s(reply: ObjectsReply, sent_at_s: float, heard_at_s: float) -> float | None:
+def _verified_at_s(reply: ObjectsReply, sent_at_s: float, heard_at_s: float) -> float | None:
     return replies.verified_at_s(reply, sent_at_s)
 
 
 # Mutants
 
 
-def _counted_from_answer(
-    proof: VerifiedState, revision: int, sent_s: float, answered_s: float
+def _verified_as_of_answer(
+    state: VerifiedState, revision: int, sent_s: float, answered_s: float
 ) -> None:
-    proof.note_answer(revision, answered_s + READER_CLOCK_S)
+    state.note_answer(revision, answered_s + READER_CLOCK_S)
 
 
-def _any_answer(proof: VerifiedState, revision: int, sent_s: float, answered_s: float) -> None:
-    proof.note_answer(0, sent_s + READER_CLOCK_S)
+def _verified_by_any_answer(
+    state: VerifiedState, revision: int, sent_s: float, answered_s: float
+) -> None:
+    state.note_answer(0, sent_s + READER_CLOCK_S)
 
 
-def _counted_from_hearing(reply: ObjectsReply, sent_at_s: float, heard_at_s: float) -> float | None:
+def _counted_from_reply(reply: ObjectsReply, sent_at_s: float, heard_at_s: float) -> float | None:
     return replies.verified_at_s(reply, heard_at_s)
 
 
-#: What a mutant replaces in this module.
+#: Name of the function in this module that a mutant replaces, and its replacement.
 MUTANTS = {
-    "the proof counts from the answer": ("_note_answer", _counted_from_answer),
-    "an answer proves a state that is not known yet": ("_note_answer", _any_answer),
-    "the asker counts from the reply": ("_proved_at_s", _counted_from_hearing),
+    "the state is verified as of the answer": ("_note_answer", _verified_as_of_answer),
+    "an answer verifies a state not yet known": ("_note_answer", _verified_by_any_answer),
+    "the client counts from the reply": ("_verified_at_s", _counted_from_reply),
 }
--- a/features/support/reader_model.py
+++ b/features/support/reader_model.py
@@ -1,4 +1,4 @@
-"""Random histories of a kind of objects, followed through two readers without any I/O."""
+"""Random histories of the objects of one kind, followed through two readers without any I/O."""
 
 import random
 from dataclasses import dataclass, field
@@ -19,7 +19,7 @@
     history: list[tuple[int, Change]] = field(default_factory=list)
 
     def change(self, rng: random.Random) -> None:
-        """Write or remove one object."""
+        """Write or delete one object."""
         name = rng.choice(NAMES)
         self.revision += 1
         if name in self.items and rng.random() < 0.4:
@@ -36,14 +36,14 @@
 
 
 class Receiver:
-    """A machine that follows the kind through whatever reader it is told to."""
+    """A machine that follows the kind through the reader that a step names."""
 
     def __init__(self) -> None:
         self.items: dict[str, StoredObject] = {}
         self.revision = 0
 
     def ask(self, cache: ObjectCache) -> None:
-        """Take in what a reader tells, as a follower does."""
+        """Apply the changes or the list of a reader, as a follower does."""
         found: Changes | None = None
         if self.revision:
             found = cache.changes_since(self.revision)
@@ -65,7 +65,7 @@
 def ends_in_state(seed: int) -> bool:
     """Play a random history; return whether the receiver ends in the store's state.
 
-    Readers list anew now and then, as they do after the store has forgotten its history.
+    Readers sometimes list all objects again, as they do after the store has dropped its history.
     """
     rng = random.Random(seed)
     store = StoreModel()
