--- a/features/freshness.feature
+++ b/features/freshness.feature
@@ -44,10 +44,10 @@
     Then a client with key "key-a" soon gets 200 on "records"
 
   @platform_world
-  Scenario: A key that was taken away while a gateway hears nothing is not served past the bound
+  Scenario: A key that was revoked while a gateway reaches nothing is not served past the bound
     Given tenants "alloy" with key "key-a" and "ore" with key "key-o"
     And a route "records" of type "mutating" with a server
-    When no machine reaches the store and the key "key-a" is taken away
+    When no machine reaches the store and the key "key-a" is revoked
     Then no request with "key-a" sent later than 5 s after that is served on "records"
 
   @platform_world
@@ -72,7 +72,7 @@
   Scenario: A gateway that was frozen serves no key before it has queried the store
     Given tenants "alloy" with key "key-a" and "ore" with key "key-o"
     And a route "records" of type "mutating" with a server
-    When gateway 0 is frozen for 6 s while the key "key-a" is taken away
+    When gateway 0 is frozen for 6 s while the key "key-a" is revoked
     Then no request with "key-a" sent later than 5 s after that is served on "records"
 
   @platform_world
@@ -94,5 +94,5 @@
     Given tenants "alloy" with key "key-a" and "ore" with key "key-o"
     And a route "records" of type "mutating" with a server
     When the store is out of reach
-    Then a client with key "key-of-nobody" gets 503 on "records" within 3.5 s of the outage
+    Then a client with key "key-unknown" gets 503 on "records" within 3.5 s of the outage
     And a client with key "key-a" gets 503 on "elsewhere" within 3.5 s of the outage
--- a/features/reader_detour.feature
+++ b/features/reader_detour.feature
@@ -65,5 +65,5 @@
     And the store turns gateway 0 away
     Then a client with key "key-a" gets 200 on "records" for 9.0 s
     And gateway 0 logged that readers answer through neighbours, and counts it
-    When the key "key-a" is taken away
+    When the key "key-a" is revoked
     Then no request with "key-a" sent later than 5 s after that is served on "records"
--- a/features/steps/freshness_steps.py
+++ b/features/steps/freshness_steps.py
@@ -143,14 +143,14 @@
     context.taken_away_at = time.monotonic()
 
 
-@when('no machine reaches the store and the key "{key}" is taken away')
+@when('no machine reaches the store and the key "{key}" is revoked')
 def cut_and_take_away(context: Context, key: str) -> None:
     for name in world(context).processes:
         world(context).store.turn_away(name)
     take_key_away(context, key)
 
 
-@when('gateway 0 is frozen for {seconds:d} s while the key "{key}" is taken away')
+@when('gateway 0 is frozen for {seconds:d} s while the key "{key}" is revoked')
 def freeze_gateway(context: Context, seconds: int, key: str) -> None:
     world(context).kill("edge-0", signal.SIGSTOP)
     take_key_away(context, key)
--- a/features/steps/relayed_reads_steps.py
+++ b/features/steps/relayed_reads_steps.py
@@ -128,6 +128,6 @@
     assert counts and counts[0] > 1.0, counts
 
 
-@when('the key "{key}" is taken away')
+@when('the key "{key}" is revoked')
 def key_taken_away(context: Context, key: str) -> None:
     take_key_away(context, key)
--- a/features/support/following_model.py
+++ b/features/support/following_model.py
@@ -117,14 +117,18 @@
 
 
 class PeerLink:
-    def __init__(self, world: "FollowingWorld", asker: Host, reader: Host) -> None:
+    def __init__(self, world: "FollowingWorld", sender: Host, reader: Host) -> None:
         self._world = world
-        self._asker = asker
+        self._sender = sender
         self._reader = reader
 
     def post(self, request: Any, complete: Callable[[object | None], None]) -> int:
         eventlet.spawn_n(
-            self._deliver, request, complete, self._reader.incarnation, self._asker.incarnation
+            self._deliver,
+            request,
+            complete,
+            self._reader.incarnation,
+            self._sender.incarnation,
         )
         return 0
 
@@ -136,9 +140,9 @@
         request: Any,
         complete: Callable[[object | None], None],
         incarnation: int,
-        asker_incarnation: int,
+        sender_incarnation: int,
     ) -> None:
-        if (self._asker.node_id, self._reader.node_id) in self._world.cuts:
+        if (self._sender.node_id, self._reader.node_id) in self._world.cuts:
             if not self._world.cuts_are_silent:
                 eventlet.sleep(CONNECT_TIMEOUT_S)
                 complete(None)
@@ -155,7 +159,7 @@
         self._world.waiting.append((self._reader, incarnation, complete))
 
         def reply(found: object) -> None:
-            eventlet.spawn_n(self._return_reply, found, complete, incarnation, asker_incarnation)
+            eventlet.spawn_n(self._return_reply, found, complete, incarnation, sender_incarnation)
 
         self._reader.reader.ask(request, reply)
 
@@ -164,16 +168,16 @@
         found: object,
         complete: Callable[[object | None], None],
         incarnation: int,
-        asker_incarnation: int,
+        sender_incarnation: int,
     ) -> None:
         eventlet.sleep(DELAY_S)
         while self._reader.is_frozen and self._reader.incarnation == incarnation:
             eventlet.sleep(0.05)
-        is_cut = (self._asker.node_id, self._reader.node_id) in self._world.cuts
+        is_cut = (self._sender.node_id, self._reader.node_id) in self._world.cuts
         if (
             not is_cut
             and self._reader.incarnation == incarnation
-            and self._asker.incarnation == asker_incarnation
+            and self._sender.incarnation == sender_incarnation
         ):
             complete(found)
 
--- a/features/support/relayed_reads_model.py
+++ b/features/support/relayed_reads_model.py
@@ -61,11 +61,11 @@
         request: Any,
         complete: Callable[[object | None], None],
         incarnation: int,
-        asker_incarnation: int,
+        sender_incarnation: int,
     ) -> None:
         world = self._world
         assert isinstance(world, RelayedReadsWorld)
-        world.asked[self._asker.node_id] += 1
+        world.asked[self._sender.node_id] += 1
         if not self._reader.is_up:
             return
         forwarder = world.forwarders[self._reader.node_id]
@@ -74,7 +74,7 @@
         def reply(found: object) -> None:
             for delay_s in world.delays_s():
                 eventlet.spawn_after(
-                    delay_s, self._return_reply, found, complete, incarnation, asker_incarnation
+                    delay_s, self._return_reply, found, complete, incarnation, sender_incarnation
                 )
 
         for _ in range(2 if world.rng.random() < world.duplicate_share else 1):
--- a/yarrowwall/watching/follower.py
+++ b/yarrowwall/watching/follower.py
@@ -80,7 +80,7 @@
         self._watch_s = watch_s
         self._max_retry_s = max_retry_s
         self._allow_stale = allow_stale
-        self._on_proved = on_verified
+        self._on_verified = on_verified
         self._running: Any = None
         self._is_next_watch_short = False
         self._must_relist = False
@@ -139,7 +139,7 @@
         self.has_listed = True
         self._on_read(listing.revision)
         if listing.verified_at_s is not None:
-            self._on_proved(listing.verified_at_s)
+            self._on_verified(listing.verified_at_s)
         return listing.revision
 
     def _watch(self, revision: int) -> int:
@@ -154,14 +154,14 @@
             self._on_change(change)
         self._on_read(found.revision)
         if found.verified_at_s is not None:
-            self._on_proved(found.verified_at_s)
+            self._on_verified(found.verified_at_s)
         if found.changes:
             eventlet.sleep(self._pause_s)
         return found.revision
 
     def _retry_pause_s(self) -> float:
-        most_s = self._max_retry_s if self.has_listed else MAX_FIRST_RETRY_SECONDS
-        pause = exponential_backoff_s(RETRY_SECONDS, most_s, self._failures - 1)
+        max_s = self._max_retry_s if self.has_listed else MAX_FIRST_RETRY_SECONDS
+        pause = exponential_backoff_s(RETRY_SECONDS, max_s, self._failures - 1)
         jitter = 0.75 + 0.5 * fraction(self._kind, str(self._failures))
         return pause * jitter
 
--- a/yarrowwall/watching/object_verifier.py
+++ b/yarrowwall/watching/object_verifier.py
@@ -56,7 +56,7 @@
         self.target = target
         self._log = log
         self._now = now
-        self._on_proved = on_verified
+        self._on_verified = on_verified
         self._on_stale = on_stale
         self._failures = 0
         self._running: Any = None
@@ -81,7 +81,7 @@
         while True:
             next_s = self._now() + VERIFY_SECONDS
             answered = Event()
-            eventlet.spawn_n(self._read, answered)
+            eventlet.spawn_n(self._run_read, answered)
             answered.wait(RESEND_SECONDS)
             if answered.ready() and not self._failures:
                 self._read_now.wait(max(next_s - self._now(), 0.0))
@@ -89,14 +89,14 @@
                 eventlet.sleep(RESEND_SECONDS)
             self._read_now = Event()
 
-    def _read(self, answered: Event) -> None:
+    def _run_read(self, answered: Event) -> None:
         sent_at_s = self._now()
         try:
-            self._compare(sent_at_s)
+            self._read_and_compare(sent_at_s)
         finally:
             answered.send()
 
-    def _compare(self, sent_at_s: float) -> None:
+    def _read_and_compare(self, sent_at_s: float) -> None:
         try:
             item = self._store.get(*self.target, ANSWER_SECONDS)
         except WatchInterruptedError:
@@ -109,7 +109,7 @@
         if self.state.is_stale:
             self._expect_change()
         else:
-            self._on_proved()
+            self._on_verified()
 
     def _expect_change(self) -> None:
         """Report the watches as stale unless they return the state that was read soon."""
