--- a/yarrowwall/ports/__init__.py
+++ b/yarrowwall/ports/__init__.py
@@ -1,5 +1,5 @@
-"""Interfaces between the packages of a machine.
+"""Interfaces between the components of a machine.
 
-A package that uses another one depends on an interface here, so that dependencies have one
-direction only.
+A component that needs another one takes it as one of these interfaces, so that the dependencies
+between packages have no cycles.
 """
