--- a/features/steps/spent_budget_steps.py
+++ b/features/steps/spent_budget_steps.py
@@ -241,7 +241,7 @@
     )
     exchange = Exchange(gateway, {"eventlet.input": Mock()}, Mock())
     try:
-        list(exchange._stream(attempt, ROUTE, RequestTime(now_s, now_s + 9.0, 5.0)))
+        list(exchange._relay_stream(attempt, ROUTE, RequestTime(now_s, now_s + 9.0, 5.0)))
     except CallerDisconnectedError:
         return
     raise AssertionError("the turn continued")
