--- a/features/support/platform_world.py
+++ b/features/support/platform_world.py
@@ -90,7 +90,7 @@
 
 
 class ObjectStore:
-    """The platform's store: objects, revisions, watches, conditional changes."""
+    """A stand-in for the platform store: objects, revisions, watches, conditional changes."""
 
     def __init__(self) -> None:
         self.lock = threading.Condition()
@@ -188,7 +188,7 @@
             self.lock.notify_all()
 
     def forget_history(self) -> None:
-        """Drop the history; every running watch gets a 410."""
+        """Drop the history; watches from earlier revisions get a 410."""
         with self.lock:
             self.history.clear()
             self.oldest = self.revision
