--- a/yarrowwall/replication/forwarding.py
+++ b/yarrowwall/replication/forwarding.py
@@ -28,13 +28,13 @@
 #: Most requests and bytes in flight for all other gateways. A turn takes about ten requests of
 #: 5 ms each, so 64 serve more turns than ten gateways send; the limit on bytes bounds the memory,
 #: since a machine may have 128 MB.
-MOST_REQUESTS = 64
-MOST_BYTES = 4 * 1024 * 1024
+MAX_REQUESTS = 64
+MAX_BYTES = 4 * 1024 * 1024
 #: Seconds that a forwarded request waits for its reply: as long as the operation of the gateway
 #: that sent it.
 WAIT_SECONDS = 0.6
 #: Requests that gateways send to replicas and to readers of the platform's store.
-FORWARDED = (
+FORWARDED_TYPES = (
     AskNeighbours,
     AskRoom,
     AskStatus,
@@ -85,12 +85,12 @@
             reply(Forwarded(refusal, b""))
             return
         self.forwarded[request.node_id] += 1
-        _Passed(self, request, message, reply)
+        _InFlightRequest(self, request, message, reply)
 
     def _message(self, request: Forward) -> object | None:
         """Return the enclosed request; None if requests of its kind are not forwarded."""
         message = self._links.decoded(request.node_id, request.request)
-        return message if isinstance(message, FORWARDED) else None
+        return message if isinstance(message, FORWARDED_TYPES) else None
 
     def _refusal(self, request: Forward, message: object | None) -> ForwardStatus | None:
         if message is None or not self._is_replica(request.address):
@@ -100,7 +100,7 @@
         if self._links.paths.is_failing(request.address):
             return ForwardStatus.NO_ANSWER
         size = self._bytes + len(request.request)
-        if self._requests >= MOST_REQUESTS or size > MOST_BYTES:
+        if self._requests >= MAX_REQUESTS or size > MAX_BYTES:
             return ForwardStatus.BUSY
         return None
 
@@ -124,7 +124,7 @@
         return lambda: link.forget_direct(number)
 
 
-class _Passed:
+class _InFlightRequest:
     """One forwarded request that waits for its reply."""
 
     def __init__(
@@ -135,21 +135,21 @@
         self._reply: Reply | None = reply
         forwarder.note_begun(self._size)
         self._timer = eventlet.spawn_after(WAIT_SECONDS, self._give_up)
-        self._forget = forwarder.post(request.address, message, self._take)
+        self._forget = forwarder.post(request.address, message, self._handle_reply)
 
-    def _take(self, found: object | None) -> None:
+    def _handle_reply(self, found: object | None) -> None:
         """Send the reply back; None if the connection ended."""
         self._timer.cancel()
         if found is None:
-            self._end(Forwarded(ForwardStatus.NO_ANSWER, b""))
+            self._finish(Forwarded(ForwardStatus.NO_ANSWER, b""))
         else:
-            self._end(Forwarded(ForwardStatus.OK, encode(found)))
+            self._finish(Forwarded(ForwardStatus.OK, encode(found)))
 
     def _give_up(self) -> None:
         self._forget()
-        self._end(Forwarded(ForwardStatus.NO_ANSWER, b""))
+        self._finish(Forwarded(ForwardStatus.NO_ANSWER, b""))
 
-    def _end(self, forwarded: Forwarded) -> None:
+    def _finish(self, forwarded: Forwarded) -> None:
         if self._reply is None:
             return
         reply, self._reply = self._reply, None
