--- a/features/group_notices.feature
+++ b/features/group_notices.feature
@@ -2,7 +2,7 @@
   A retirement that cannot proceed and a group whose records are lost each have a log line.
 
   Scenario: A retirement that waits for a replacement is logged once and proceeds with one
-    Given a storage machine "a" that looks after a group of "a1" and "b1"
+    Given a storage machine "a" that coordinates a group of "a1" and "b1"
     When "a" is being retired and the groups are checked for 1.0 s
     Then its log says once that group 0 would keep 1 copies of 2 needed
     When "c1" registers
@@ -10,7 +10,7 @@
     And its log says once that group 0 would keep 1 copies of 2 needed
 
   Scenario: A retirement with a replacement does not wait
-    Given a storage machine "a" that looks after a group of "a1" and "b1"
+    Given a storage machine "a" that coordinates a group of "a1" and "b1"
     And "c1" registers
     When "a" is being retired and the groups are checked for 1.0 s
     Then the group becomes "b1,c1" within 3 s
@@ -38,7 +38,7 @@
     Then a zone's group of the same disks has not lost all copies with the disk "a2"
 
   Scenario: A storage machine logs once that its group has lost all copies
-    Given a storage machine "a" that looks after a group of "a0" and "b1"
+    Given a storage machine "a" that coordinates a group of "a0" and "b1"
     And all other machines are silent
     When the groups are checked for 0.6 s
     Then its log does not say that a group has lost its records
@@ -49,14 +49,14 @@
     And the metric "yarrowwall_group_lost" of group 0 is 1
 
   Scenario: A disk that is registered but silent is not lost
-    Given a storage machine "a" that looks after a group of "a0" and "b1"
+    Given a storage machine "a" that coordinates a group of "a0" and "b1"
     And all other machines are silent
     When "b2" registers
     And the groups are checked for 0.8 s
     Then its log does not say that a group has lost its records
 
   Scenario: Views that the store has replaced do not count as lost copies
-    Given a storage machine "a" that looks after a group of "a0" and "b1"
+    Given a storage machine "a" that coordinates a group of "a0" and "b1"
     And all other machines are silent
     When the store has a newer view of "c1" that the machine has not heard of
     And "b2" registers
--- a/features/steps/group_notice_steps.py
+++ b/features/steps/group_notice_steps.py
@@ -22,7 +22,7 @@
         eventlet.sleep(ANSWER_SECONDS)
 
 
-@given('a storage machine "a" that looks after a group of "{first}" and "{second}"')
+@given('a storage machine "a" that coordinates a group of "{first}" and "{second}"')
 def coordinated_group(context: Context, first: str, second: str) -> None:
     context.group = CoordinatedGroup([first, second])
     answering = eventlet.spawn(_answer_always, context.group)
--- a/features/support/record_mutants.py
+++ b/features/support/record_mutants.py
@@ -39,7 +39,7 @@
 
 
 class _WithoutCopying:
-    """Removes both steps that protect the copy.
+    """Removes both of the two steps that protect the copy.
 
     The planner waits until it is finished, and a replica counts for reads only after it.
     """
--- a/yarrowwall/replication/neighbour_forwarder.py
+++ b/yarrowwall/replication/neighbour_forwarder.py
@@ -74,8 +74,8 @@
     def call(self, address: str, message: object) -> object:
         """Send a request through a neighbour and return the machine's reply.
 
-        The next neighbour is asked when one refuses or is late, up to :data:`MAX_NEIGHBOURS`.
-        The first reply is returned; later ones are dropped.
+        The next neighbour is asked when one refuses or is late, up to three in all (see
+        :data:`MAX_NEIGHBOURS`). The first reply is returned; later ones are dropped.
 
         :param address: the machine's address.
         :raises LinkDownError: if a neighbour reports that the machine does not answer.
--- a/yarrowwall/replication/quorum_client.py
+++ b/yarrowwall/replication/quorum_client.py
@@ -169,7 +169,7 @@
     def read_chain(
         self, group: int, key: str, known: list[str], timeout: float = OPERATION_SECONDS
     ) -> dict[str, StoredRecord]:
-        """Return a record and its predecessors by key, as far as replicas have them.
+        """Return by key a record and its predecessors that replicas have.
 
         The nearest replica is asked alone first. A record that is not among them has no complete
         write.
