--- a/yarrowwall/budgets/turn_store.py
+++ b/yarrowwall/budgets/turn_store.py
@@ -1,9 +1,9 @@
-"""Turns of conversations in the record store: chains of them, and where a new one is kept.
+"""Storage and lookup of conversation turns in the record store.
 
-A turn belongs into its common group. While that is out of reach it is kept in the own
-zone's group, if that outlives as many lost disks as must be borne; it is copied to its
-common group later. A turn never changes, so any copy of it is right, and one is missing
-only if the common group and all zones' groups say so.
+A turn is stored in its common group. While that is unreachable, the turn is stored in the group of
+the gateway's zone, provided that this group survives the required number of lost disks, and is
+copied to its common group later. A turn never changes, so any copy of it is valid, and a turn is
+missing only if the common group and all zone groups say so.
 """
 
 from collections.abc import Callable
@@ -24,68 +24,70 @@
 from yarrowwall.replication.exceptions import NoQuorumError
 from yarrowwall.replication.quorum_client import OPERATION_SECONDS, QuorumClient
 
-#: Seconds that each group has at first to take a turn if the own zone's group may keep it too; else
-#: the common one has as long as any operation. Twice as many at each further try. An answer takes
-#: milliseconds, and callers wait for the end of each turn.
-KEEP_FIRST_SECONDS = 0.3
-#: Seconds between two tries: replicas whose connections end fail at once.
-KEEP_AGAIN_SECONDS = 0.1
-#: Seconds that a group has at least, also behind the request's time: most take a turn in a few
-#: milliseconds.
-KEEP_LEAST_SECONDS = 0.1
-#: Seconds of a request's time that are left for the end of its answer to reach the caller.
+#: Timeout in seconds of the first write to each group if the zone's group may store the turn too.
+#: Otherwise the common group has as long as any operation. The timeout doubles with each round. An
+#: answer takes milliseconds, and callers wait for the end of each turn.
+FIRST_STORE_TIMEOUT_SECONDS = 0.3
+#: Seconds between two rounds, since writes to replicas with closed connections fail at once.
+STORE_RETRY_SECONDS = 0.1
+#: Smallest timeout in seconds of a write, even beyond the request's deadline. Most groups store a
+#: turn in a few milliseconds.
+MIN_STORE_TIMEOUT_SECONDS = 0.1
+#: Seconds before a request's deadline that are reserved for sending the end of its answer.
 END_MARGIN_SECONDS = 0.03
-#: Seconds that an end waited for its turn to be stored, from which on this is told.
-KEPT_LATE_SECONDS = 0.25
-#: Seconds that a turn looks for earlier ones in a group if another one may have them.
-LOOK_SECONDS = 0.25
-#: Seconds that the members in reach have if their group as a whole is known to be out of it:
-#: one of them may hold the chain, and it stands in the same zone.
-LOOK_AT_REST_SECONDS = 0.03
-
-#: A record, and the group that it is written to.
+#: Seconds after which storing a turn is logged as late.
+LATE_STORE_SECONDS = 0.25
+#: Timeout in seconds of looking up earlier turns in a group if other groups may have them too.
+LOOKUP_TIMEOUT_SECONDS = 0.25
+#: The same for a group that is unreachable as a whole. A member that still answers may hold the
+#: chain, and is in the gateway's zone, so its answer takes little time.
+UNREACHABLE_LOOKUP_TIMEOUT_SECONDS = 0.03
+
+#: A group and a record to write to it.
 PlacedRecord = tuple[int, StoredRecord]
 
 
-class _Found(NamedTuple):
-    """Turns that were found, newest first.
+class _ChainLookup(NamedTuple):
+    """The result of looking up a turn and the earlier ones.
 
-    :param unasked: groups that could not tell.
-    :param reason: why the last one could not.
+    :param turns: The turns that were found, newest first.
+    :param unanswered: Groups that could not answer.
+    :param reason: Why the last of these could not.
     """
 
     turns: list[Turn]
-    unasked: list[int]
+    unanswered: list[int]
     reason: str = ""
 
 
 @dataclass
-class _Keeping:
-    """A turn that is to be stored.
+class _PendingTurn:
+    """A turn to be stored.
 
-    :param begun: when that began, on the monotonic clock.
-    :param failures: why a group did not take it the last time, by group.
+    :param settlement_records: Settlements of its reservations, with their groups.
+    :param started_s: Monotonic time of the first write.
+    :param failures: Why the last write to a group failed, by group.
     """
 
     turn: Turn
     record: StoredRecord
-    retention: float
-    settled: list[PlacedRecord]
-    begun: float
+    retention_s: float
+    settlement_records: list[PlacedRecord]
+    started_s: float
     tries: int = 0
     failures: dict[int, str] = field(default_factory=dict)
 
     def failure(self, now: float) -> str:
         """Return why the turn was not stored."""
         reasons = "; ".join(self.failures.values())
-        return f"turn not kept in {now - self.begun:.2f} s, {self.tries} tries: {reasons}"
+        return f"turn not kept in {now - self.started_s:.2f} s, {self.tries} tries: {reasons}"
 
 
 class TurnStore:
-    """Finds and keeps turns.
+    """Looks up and stores turns.
 
-    :param group_of: returns the common group of a key; raises StoreUncertainError if there is none.
-    :param now: the monotonic clock.
+    :param group_of: Returns the common group of a key; raises StoreUncertainError if there is none.
+    :param now: Returns the monotonic time in seconds.
     """
 
     def __init__(
@@ -93,7 +95,7 @@
         client: QuorumClient,
         group_of: Callable[[str], int],
         zones: ZoneGroups,
-        reach: GroupReachability,
+        reachability: GroupReachability,
         queues: SettlementQueues,
         log: DecisionLog,
         now: Callable[[], float],
@@ -102,52 +104,59 @@
         self._client = client
         self._group_of = group_of
         self._zones = zones
-        self._reach = reach
+        self._reachability = reachability
         self._queues = queues
         self._log = log
         self._cache = TurnCache()
-        self._copies = TurnCopier(client, group_of, reach, log)
+        self._copier = TurnCopier(client, group_of, reachability, log)
 
-    def check_keepable(self, attempt_id: str) -> None:
-        """Refuse a turn that surely could not be kept at its end.
+    def check_storable(self, attempt_id: str) -> None:
+        """Check that a turn can probably be stored when it ends.
 
-        :raises StoreUncertainError: if its group is out of reach and the zone keeps no turns.
+        :raises StoreUncertainError: If its group is unreachable and the zone cannot store turns.
         """
         group = self._group_of(turn_key(attempt_id))
-        if self._reach.is_unreachable(group) and not self._can_fall_back:
+        if self._reachability.is_unreachable(group) and not self._can_fall_back:
             reason = f"group {group} is out of reach, and the zone keeps no turns"
             raise StoreUncertainError(self._client.loss(group) or reason)
 
     @property
     def _can_fall_back(self) -> bool:
-        own = self._zones.own
-        return own is not None and self._zones.stores_turns and not self._reach.is_unreachable(own)
+        own = self._zones.own_group
+        return (
+            own is not None
+            and self._zones.stores_turns
+            and not self._reachability.is_unreachable(own)
+        )
 
     # Chains
 
-    def chain(self, attempt_id: str, previous: str, retention: float) -> list[Turn]:
+    def chain(self, attempt_id: str, previous: str, retention_s: float) -> list[Turn]:
         """Return the turns up to ``previous``, oldest first.
 
-        :raises TurnUnknownError: if it surely does not exist.
-        :raises StoreUncertainError: if that cannot be told.
+        :param retention_s: Seconds for which copies of turns found in zone groups are kept.
+        :raises TurnUnknownError: If ``previous`` certainly does not exist.
+        :raises StoreUncertainError: If that cannot be decided, or an earlier turn is missing.
         """
         turns, missing = self._cache.chain(previous)
-        fetched = 0
+        fetched_count = 0
         while missing:
-            more = self._fetch(attempt_id, missing, retention, is_first=not turns)
-            fetched += len(more)
+            more = self._fetch(attempt_id, missing, retention_s, is_first=not turns)
+            fetched_count += len(more)
             turns += more
             missing = turns[-1].previous
-        outcome = "fetched" if fetched else "cached"
+        outcome = "fetched" if fetched_count else "cached"
         self._log.write(decisions.ChainLookedUp(attempt_id, previous, outcome, len(turns)))
         return turns[::-1]
 
-    def _fetch(self, attempt_id: str, missing: str, retention: float, is_first: bool) -> list[Turn]:
-        """Return a turn and those before it as far as one group has them, newest first."""
-        found = self._look_everywhere(turn_key(missing), retention)
+    def _fetch(
+        self, attempt_id: str, missing: str, retention_s: float, is_first: bool
+    ) -> list[Turn]:
+        """Return a turn and the earlier ones that the same group has, newest first."""
+        found = self._find_turns(turn_key(missing), retention_s)
         if found.turns:
             return found.turns
-        if found.unasked:
+        if found.unanswered:
             self._log.write(decisions.ChainLookedUp(attempt_id, missing, "uncertain", 0))
             raise StoreUncertainError(found.reason)
         self._log.write(decisions.ChainLookedUp(attempt_id, missing, "unknown", 0))
@@ -155,35 +164,37 @@
             raise TurnUnknownError(f"no turn {missing}")
         raise StoreUncertainError(f"turn {missing} of the chain is missing")
 
-    def _look_everywhere(self, key: str, retention: float) -> _Found:
+    def _find_turns(self, key: str, retention_s: float) -> _ChainLookup:
         """Look for a turn in its common group, then in the groups of all zones."""
-        common = self._group_of(key)
-        unasked = []
+        common_group = self._group_of(key)
+        unanswered = []
         reason = ""
-        for group in self._zones.common_first(common):
+        for group in self._zones.common_first(common_group):
             try:
-                turns = self._look(group, key)
+                turns = self._read_from(group, key)
             except NoQuorumError as error:
-                unasked.append(group)
+                unanswered.append(group)
                 reason = str(error)
                 continue
-            if turns and group != common:
-                self._copies.add(turns, retention, is_needed=True)
+            if turns and group != common_group:
+                self._copier.add(turns, retention_s, is_urgent=True)
             if turns:
-                return _Found(turns, unasked)
-        return _Found([], unasked, reason)
+                return _ChainLookup(turns, unanswered)
+        return _ChainLookup([], unanswered, reason)
 
-    def _look(self, group: int, key: str) -> list[Turn]:
-        """Return a turn and those before it that one group has.
+    def _read_from(self, group: int, key: str) -> list[Turn]:
+        """Return a turn and the earlier ones that a group has, newest first.
 
-        :raises NoQuorumError: if it cannot tell.
+        :raises NoQuorumError: If the group cannot answer.
         """
-        is_unreachable = self._reach.is_unreachable(group)
+        is_unreachable = self._reachability.is_unreachable(group)
         try:
-            records = self._client.read_chain(group, key, [], timeout=self._look_s(is_unreachable))
+            records = self._client.read_chain(
+                group, key, [], timeout=self._lookup_timeout_s(is_unreachable)
+            )
         except NoQuorumError:
             if self._zones.part_count and not is_unreachable:
-                self._reach.note_failed(group)
+                self._reachability.note_failed(group)
             raise
         found = []
         while (record := records.get(key)) is not None:
@@ -193,86 +204,97 @@
             key = record.link
         return found
 
-    def _look_s(self, is_unreachable: bool) -> float:
+    def _lookup_timeout_s(self, is_unreachable: bool) -> float:
         if not self._zones.part_count:
             return OPERATION_SECONDS
-        return LOOK_AT_REST_SECONDS if is_unreachable else LOOK_SECONDS
+        return UNREACHABLE_LOOKUP_TIMEOUT_SECONDS if is_unreachable else LOOKUP_TIMEOUT_SECONDS
 
-    # Keeping
+    # Storing
 
-    def keep(
-        self, turn: Turn, retention: float, settled: list[PlacedRecord], end: Callable[[], float]
+    def store(
+        self,
+        turn: Turn,
+        retention_s: float,
+        settlement_records: list[PlacedRecord],
+        deadline: Callable[[], float],
     ) -> None:
-        """Store a turn; ask its groups again until one takes it.
+        """Store a turn, and retry with its groups until one of them has stored it.
 
-        Its answer has begun, so a group that is out of reach or late is no reason to give up
-        while the request has time left. What is written twice is the same record.
+        The answer has already begun, so writes are retried until the request's deadline. Repeated
+        writes are idempotent.
 
-        :param settled: the settlement of its reservation, stored with it where it can be.
-        :param end: tells when the request's time is over, on the monotonic clock.
+        :param settlement_records: Settlements of its reservations, written with it if they belong
+            to the same group.
+        :param deadline: Returns the monotonic time at which the request's time is over.
 
-        :raises StoreUncertainError: if no quorum took it in time.
+        :raises StoreUncertainError: If no quorum stored it in time.
         """
-        keeping = _Keeping(turn, turn_record(turn, retention), retention, settled, self._now())
-        wait_s = KEEP_FIRST_SECONDS if self._zones.stores_turns else OPERATION_SECONDS
+        pending = _PendingTurn(
+            turn, turn_record(turn, retention_s), retention_s, settlement_records, self._now()
+        )
+        timeout_s = FIRST_STORE_TIMEOUT_SECONDS if self._zones.stores_turns else OPERATION_SECONDS
         while True:
-            for group in self._places(keeping):
-                left_s = end() - END_MARGIN_SECONDS - self._now()
-                if left_s <= 0.0 and keeping.tries:
-                    raise StoreUncertainError(keeping.failure(self._now()))
-                if self._is_kept(keeping, group, min(wait_s, max(left_s, KEEP_LEAST_SECONDS))):
-                    self._note_kept(keeping, group)
+            for group in self._target_groups(pending):
+                left_s = deadline() - END_MARGIN_SECONDS - self._now()
+                if left_s <= 0.0 and pending.tries:
+                    raise StoreUncertainError(pending.failure(self._now()))
+                if self._try_store(
+                    pending, group, min(timeout_s, max(left_s, MIN_STORE_TIMEOUT_SECONDS))
+                ):
+                    self._note_stored(pending, group)
                     return
-            eventlet.sleep(KEEP_AGAIN_SECONDS)
-            wait_s *= 2.0
+            eventlet.sleep(STORE_RETRY_SECONDS)
+            timeout_s *= 2.0
 
-    def _places(self, keeping: _Keeping) -> list[int]:
-        """Return the groups that may keep a turn, those first that are in reach."""
-        found = [self._group_of(keeping.record.key)]
-        own = self._zones.own
+    def _target_groups(self, pending: _PendingTurn) -> list[int]:
+        """Return the groups that may store a turn, reachable ones first."""
+        found = [self._group_of(pending.record.key)]
+        own = self._zones.own_group
         if own is not None and self._zones.stores_turns:
             found.append(own)
-        return sorted(found, key=self._reach.is_unreachable)
+        return sorted(found, key=self._reachability.is_unreachable)
 
-    def _is_kept(self, keeping: _Keeping, group: int, wait_s: float) -> bool:
-        """Return whether a group takes a turn within so many seconds."""
-        keeping.tries += 1
+    def _try_store(self, pending: _PendingTurn, group: int, timeout_s: float) -> bool:
+        """Write a turn to a group; return whether it was stored within the timeout."""
+        pending.tries += 1
         try:
-            if group == self._zones.own:
-                self._keep_in_zone(keeping, group, wait_s)
+            if group == self._zones.own_group:
+                self._store_in_zone(pending, group, timeout_s)
             else:
-                self._write(keeping, group, wait_s)
+                self._write(pending, group, timeout_s)
         except NoQuorumError as error:
-            keeping.failures[group] = str(error)
-            # A group that had less time than others get may be in reach all the same.
-            if self._zones.part_count and wait_s >= KEEP_FIRST_SECONDS:
-                self._reach.note_failed(group)
+            pending.failures[group] = str(error)
+            # With a shorter timeout than others get, a failure does not prove it unreachable.
+            if self._zones.part_count and timeout_s >= FIRST_STORE_TIMEOUT_SECONDS:
+                self._reachability.note_failed(group)
             return False
         return True
 
-    def _keep_in_zone(self, keeping: _Keeping, own: int, wait_s: float) -> None:
-        """Store a turn in the own zone's group, to be copied to its common group later.
+    def _store_in_zone(self, pending: _PendingTurn, own: int, timeout_s: float) -> None:
+        """Store a turn in the group of the gateway's zone, and queue it for copying.
 
-        :raises NoQuorumError: if the zone's group does not take it in time.
+        :raises NoQuorumError: If the zone's group does not store it in time.
         """
-        self._write(keeping, own, wait_s)
-        self._log.write(decisions.TurnKeptInZone(keeping.turn.attempt_id, own))
-        self._copies.add([keeping.turn], keeping.retention, is_needed=False)
+        self._write(pending, own, timeout_s)
+        self._log.write(decisions.TurnKeptInZone(pending.turn.attempt_id, own))
+        self._copier.add([pending.turn], pending.retention_s, is_urgent=False)
 
-    def _write(self, keeping: _Keeping, group: int, wait_s: float) -> None:
-        """Write a turn to a group, with the settlements that belong there.
+    def _write(self, pending: _PendingTurn, group: int, timeout_s: float) -> None:
+        """Write a turn to a group with the settlements for that group, and queue the others.
 
-        :raises NoQuorumError: if the group does not take it in time.
+        :raises NoQuorumError: If the group does not store it in time.
         """
-        beside = [other for at, other in keeping.settled if at == group]
-        self._client.write(group, [keeping.record, *beside], timeout=wait_s)
-        for at, other in keeping.settled:
-            if at != group:
-                self._queues.add(at, other)
-
-    def _note_kept(self, keeping: _Keeping, group: int) -> None:
-        self._cache.put(keeping.turn)
-        seconds = self._now() - keeping.begun
-        if seconds >= KEPT_LATE_SECONDS:
-            attempt_id = keeping.turn.attempt_id
-            self._log.write(decisions.TurnKeptLate(attempt_id, group, seconds, keeping.tries))
+        settlements = [
+            settlement for target, settlement in pending.settlement_records if target == group
+        ]
+        self._client.write(group, [pending.record, *settlements], timeout=timeout_s)
+        for target, settlement in pending.settlement_records:
+            if target != group:
+                self._queues.add(target, settlement)
+
+    def _note_stored(self, pending: _PendingTurn, group: int) -> None:
+        self._cache.put(pending.turn)
+        seconds = self._now() - pending.started_s
+        if seconds >= LATE_STORE_SECONDS:
+            attempt_id = pending.turn.attempt_id
+            self._log.write(decisions.TurnKeptLate(attempt_id, group, seconds, pending.tries))
