--- a/yarrowwall/watching/freshness_probe.py
+++ b/yarrowwall/watching/freshness_probe.py
@@ -53,7 +53,7 @@
         self._log = log
         self._now = now
         self._unanswered = 0
-        self._is_known_down = False
+        self._is_down_logged = False
         # Spreads the queries of gateways that lose their readers at the same time.
         self._check_interval_s = AGE_CHECK_SECONDS * (1.0 + fraction("probe", node_id))
 
@@ -88,13 +88,13 @@
             self._freshness.note_proved(sent_at_s)
 
     def _note_down(self, error: ObjectStoreError) -> None:
-        if not self._is_known_down:
-            self._is_known_down = True
+        if not self._is_down_logged:
+            self._is_down_logged = True
             self._log_change(is_up=False, reason=str(error))
 
     def _note_up(self) -> None:
-        if self._is_known_down:
-            self._is_known_down = False
+        if self._is_down_logged:
+            self._is_down_logged = False
             self._log_change(is_up=True, reason="")
 
     def _log_change(self, is_up: bool, reason: str) -> None:
