--- a/features/support/relayed_reads_model.py
+++ b/features/support/relayed_reads_model.py
@@ -256,7 +256,7 @@
         for host in cut:
             eventlet.sleep(self.rng.uniform(2.0, 3.0))
             table = self.world.tables[host.node_id]
-            neighbour = table.paths.useful_neighbour(now_s(), [])
+            neighbour = table.paths.available_neighbour(now_s(), [])
             if neighbour is not None and self.world.hosts[neighbour.node_id] not in cut:
                 self.world.kill(self.world.hosts[neighbour.node_id])
 
@@ -400,7 +400,7 @@
             world.forwarders[first] = ForwardHandler(world.tables[first], lambda address: False)
             world.cut_off(host)
             eventlet.sleep(seconds)
-            useful = table.paths.useful_neighbour(now_s(), [])
+            useful = table.paths.available_neighbour(now_s(), [])
             age_s = now_s() - max(verification.as_of_s for verification in host.verified)
             is_skipped = useful is None or useful.node_id != first
             return Refusal(table.relayed[first], is_skipped, age_s)
--- a/yarrowwall/machine/gateway_role.py
+++ b/yarrowwall/machine/gateway_role.py
@@ -156,7 +156,7 @@
         deadline = stopping_since + self._settings.bounds.stop - STOP_MARGIN_SECONDS
         self.gateway.stop(stopping_since, deadline)
         while time.monotonic() < deadline:
-            is_busy = self.gateway.running or self._ledger.has_unsettled
+            is_busy = self.gateway.active_count or self._ledger.has_unsettled
             if time.monotonic() > stopping_since + MIN_STOP_SECONDS and not is_busy:
                 return
             eventlet.sleep(0.05)
@@ -167,7 +167,7 @@
         metrics.set_age(self.gateway.configuration_age_s)
         metrics.set_relayed(self._links.relayed, self._forwarder.forwarded)
         metrics.set_relay_refusals(self._links.refused, self._forwarder.refused)
-        metrics.set_reader_detours(self._store.relayed_reads.outcomes)
+        metrics.set_relayed_reads(self._store.relayed_reads.outcomes)
         metrics.set_held(
             {
                 "all": self._memory.held,
--- a/yarrowwall/ports/platform.py
+++ b/yarrowwall/ports/platform.py
@@ -1,4 +1,4 @@
-"""Interface to the platform that a machine runs on, which the platform's adapter implements."""
+"""Interfaces to the platform that a machine runs on; the platform adapter implements them."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -22,30 +22,32 @@
     """Translates between callers' requests and attempts."""
 
     def read_attempt(self, environ: dict[str, Any], now: float) -> Attempt:
-        """Return the attempt that a request makes, without its body.
+        """Return the attempt of a request, without its body.
 
-        :raises InvalidAttemptError: if it is malformed.
+        :param environ: the request's WSGI environment.
+        :param now: when the request arrived, on the monotonic clock.
+        :raises InvalidAttemptError: if the request is malformed.
         """
 
     def answer_headers(self, answer: Answer) -> list[Header]:
-        """Return the headers of a server's answer that are sent to the caller."""
+        """Return the headers of a server's answer that are passed to the caller."""
 
     def refusal_headers(self, attempt_id: str, refusal: Refusal) -> list[Header]:
-        """Return the headers of a refusal by the gateway itself."""
+        """Return the headers of a response made by the gateway."""
 
 
 class ServerProtocol(Protocol):
-    """Translates between attempts and requests to servers."""
+    """Translates between attempts and HTTP messages of servers."""
 
     def request_bytes(self, attempt: Attempt, send: Send) -> bytes:
-        """Return the bytes of the request for one send of an attempt."""
+        """Return the bytes of a request to a server."""
 
     def read_answer(self, attempt: Attempt, send: Send, head: ResponseHead) -> Answer:
-        """Return the answer that a response head stands for."""
+        """Return the interpretation of a response head."""
 
 
 class Documents(Protocol):
-    """Reads the platform's objects, and names their kinds."""
+    """Converts the platform's objects, and names their kinds."""
 
     servers_kind: str
     configuration_kind: str
@@ -53,26 +55,27 @@
     retirements_kind: str
 
     def server(self, item: StoredObject) -> Server:
-        """Return the server that an entry describes.
+        """Return the server of an entry.
 
         :raises UnusableEntryError: if the entry describes no usable server.
         """
 
     def server_incarnation(self, item: StoredObject) -> Incarnation:
-        """Return the incarnation in an entry, with the fields that are readable."""
+        """Return the incarnation of an entry; without a start time if that can't be read."""
 
     def configuration(self, item: StoredObject) -> Configuration | None:
-        """Return the operators' configuration; None if the object holds something else."""
+        """Return the operators' configuration; None if the object is a different one."""
 
     def retirement_status(self, is_complete: bool) -> dict[str, Any]:
-        """Return the status to report for a machine that is being retired."""
+        """Return the status to store for a storage machine that is being retired."""
 
 
 @dataclass(frozen=True)
 class Adapter:
-    """The components that adapt a machine to its platform.
+    """The implementation of these interfaces for a platform.
 
-    :param make_store: returns a new client of the platform store.
+    :param make_store: returns a client of the platform store.
+    :param readiness_path: path of the readiness check.
     """
 
     callers: CallerProtocol
