--- a/yarrowwall/messages/capacity.py
+++ b/yarrowwall/messages/capacity.py
@@ -1,4 +1,4 @@
-"""Messages between gateways and the replica that admits new programs while servers are scarce."""
+"""Messages between gateways and the replica that decides on new programs under high load."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -7,23 +7,23 @@
 
 
 class Scarce(StrEnum):
-    """What was lacking for a new program."""
+    """The resource or condition for which a new program was refused."""
 
     NOTHING = "nothing"
-    #: The places of the service's servers.
+    #: Slots of the service's servers.
     PLACES = "places"
-    #: The memory of its engines.
+    #: Cache memory of its engines.
     MEMORY = "memory"
-    #: There is room, but others that were refused before, or have less than their share, are due.
+    #: There is capacity, but it is reserved for others, such as programs that were refused earlier.
     TURN = "turn"
 
 
 @dataclass(frozen=True)
 class ServiceUnderWay:
-    """What a gateway has under way at a service with engines.
+    """The active programs of a gateway at a service with engines.
 
-    :param between: programs between two turns that are likely to go on.
-    :param tokens: tokens of prompts of their own that all its programs keep there.
+    :param between: programs between two turns that are likely to continue.
+    :param tokens: prompt tokens of all active programs, without prefixes shared among programs.
     """
 
     service: str
@@ -33,18 +33,18 @@
 
 @message(144)
 class AskRoom:
-    """Say whether a new program may begin.
-
-    :param program: digest of the program's name, as one of its tenant's.
-    :param weight: of the tenant, in shares of what is scarce: its agreed rate; 0 without one.
-    :param tokens: of the engines' memory that the program is expected to keep.
-    :param taken: requests under way at the service, as the gateway was told.
-    :param age_s: how old that is.
-    :param places: that sound servers offer.
-    :param memory_tokens: that their engines hold.
-    :param finish_in_s: seconds left to the program; 0 if untold.
-    :param patience_s: the longest that the caller would wait before it comes back.
-    :param is_continued: whether the program goes on from an answered turn.
+    """Ask whether a new program may begin.
+
+    :param program: digest of the tenant's and the program's names.
+    :param weight: the tenant's weight in dividing scarce resources: its agreed rate; 0 without one.
+    :param tokens: cache tokens that the program is expected to need.
+    :param taken: requests in progress at the service, by the loads that the gateway received last.
+    :param age_s: age of these loads in seconds.
+    :param places: slots of the service's healthy servers.
+    :param memory_tokens: token capacity of the engines' caches.
+    :param finish_in_s: seconds until the program's deadline; 0 if not given.
+    :param patience_s: the longest time that the caller would wait before a retry.
+    :param is_continued: whether the program continues from an answered turn.
     """
 
     service: str
@@ -65,12 +65,12 @@
 class RoomReply:
     """Answer to :class:`AskRoom`.
 
-    :param retry_after_s: seconds after which there should be room for it, if there is none.
-    :param free: programs that there was room for.
-    :param waiting: programs that were refused and may come back.
-    :param ahead: those of them that go before this one.
-    :param holder: the tenant with most programs admitted lately; empty for none.
-    :param holder_share: its part of them.
+    :param retry_after_s: seconds after which a refused program should retry.
+    :param free: number of programs that there was capacity for.
+    :param waiting: number of refused programs that may retry.
+    :param ahead: how many of these come before this one.
+    :param holder: the tenant with the most recently admitted programs; empty for none.
+    :param holder_share: its share of these programs.
     """
 
     is_admitted: bool
@@ -85,7 +85,7 @@
 
 @message(146)
 class ReturnRoom:
-    """Note that a program which was admitted did not begin; there is no reply."""
+    """Withdraw the admission of a program that did not begin; there is no reply."""
 
     service: str
     tenant: str
--- a/yarrowwall/messages/codec.py
+++ b/yarrowwall/messages/codec.py
@@ -1,14 +1,14 @@
-"""Encoding of messages: a two-byte type code, then Avro's binary form.
+"""Encoding of messages: a two-byte type code, then Avro's binary encoding.
 
-The schemas are read from the committed ``schemas`` folder; they are made from
-the dataclasses by :mod:`yarrowwall.messages.generate`.
+The schemas are read from the committed ``schemas`` folder;
+:mod:`yarrowwall.messages.generate` writes them from the dataclasses.
 
-Releases run side by side during an upgrade. A released message changes only by fields that
-:func:`yarrowwall.messages.registry.added_field` declares, behind all others: earlier releases pass
-over them, and a body that ends before them has their defaults.
+During an upgrade, machines of different releases exchange messages. A released message may only
+gain fields, which :func:`yarrowwall.messages.registry.added_field` declares after all others:
+earlier releases ignore them, and they have their defaults if a body ends before them.
 
-A class is known once its module is imported; a program imports those whose messages it
-sends or takes, and :mod:`yarrowwall.messages.all_messages` imports every one.
+A class is registered when its module is imported. A process imports the modules of the messages
+that it sends or receives; :mod:`yarrowwall.messages.all_messages` imports all of them.
 """
 
 import dataclasses
@@ -32,24 +32,24 @@
 
 _TYPE_CODE = struct.Struct(">H")
 _Converter = Callable[[Any], Any]
-#: What reading a body that does not follow its schema raises.
+#: Exceptions raised by reading a body that does not match its schema.
 _MALFORMED = (ValueError, EOFError, IndexError, KeyError, StopIteration, MemoryError)
 
 
 def schema_path(code: int) -> Path:
-    """Return the file that holds the schema of a type code."""
+    """Return the path of the schema of a type code."""
     return SCHEMA_FOLDER / f"{code:03d}_{CLASSES_BY_CODE[code].__name__}.avsc"
 
 
 @cache
 def _schema(code: int) -> Any:
-    """Parse the committed schema of a type code once."""
+    """Return the parsed schema of a type code."""
     return fastavro.parse_schema(json.loads(schema_path(code).read_text()))
 
 
 @cache
 def _schema_before_additions(code: int) -> Any:
-    """Parse the schema of a type code as it was released first."""
+    """Return the parsed schema of a type code as it was first released."""
     schema = json.loads(schema_path(code).read_text())
     added = added_defaults(CLASSES_BY_CODE[code])
     schema["fields"] = [field for field in schema["fields"] if field["name"] not in added]
@@ -57,7 +57,7 @@
 
 
 def _read_fields(code: int, cls: type, body: bytes) -> dict[str, Any]:
-    """Return the Avro record of a body, which may come from a release without the added fields."""
+    """Return the fields of a body, which an earlier release may have sent without added fields."""
     try:
         fields = fastavro.schemaless_reader(io.BytesIO(body), _schema(code), None)
     except _MALFORMED:
@@ -71,9 +71,9 @@
 
 
 def _field_converters(cls: type, leaf: Callable[[Any], _Converter | None]) -> dict[str, _Converter]:
-    """Return converters for those fields whose Avro value is not their Python value.
+    """Return converters for the fields whose Avro values differ from their Python values.
 
-    :param leaf: returns the converter for a type that is no list and no union.
+    :param leaf: returns the converter for a type that is neither a list nor a union.
     """
     hints = typing.get_type_hints(cls)
     found = {field.name: _converter(hints[field.name], leaf) for field in dataclasses.fields(cls)}
@@ -81,7 +81,7 @@
 
 
 def _converter(hint: Any, leaf: Callable[[Any], _Converter | None]) -> _Converter | None:
-    """Return the converter of a type hint; None if nothing is to be converted."""
+    """Return the converter of a type hint; None if no conversion is needed."""
     origin = typing.get_origin(hint)
     if origin is types.UnionType:
         inner = _converter(typing.get_args(hint)[0], leaf)
@@ -94,7 +94,7 @@
 
 @cache
 def _from_plain_fields(cls: type) -> dict[str, _Converter]:
-    """Return the converters of a class from Avro's values."""
+    """Return the converters from Avro values to the values of a class."""
     return _field_converters(cls, _from_plain)
 
 
@@ -108,7 +108,7 @@
 
 @cache
 def _to_plain_fields(cls: type) -> dict[str, _Converter]:
-    """Return the converters of a class to Avro's values."""
+    """Return the converters from the values of a class to Avro values."""
     return _field_converters(cls, _to_plain)
 
 
@@ -117,7 +117,7 @@
 
 
 def _build(cls: Any, fields: dict[str, Any]) -> Any:
-    """Make a frozen dataclass from decoded fields without its slow constructor."""
+    """Return a frozen dataclass with decoded fields, bypassing its slow constructor."""
     for name, converter in _from_plain_fields(cls).items():
         fields[name] = converter(fields[name])
     instance = cls.__new__(cls)
@@ -126,7 +126,7 @@
 
 
 def _fields_of(message: Any) -> dict[str, Any]:
-    """Return the Avro record of a message or a part of one."""
+    """Return the Avro record of a message or of a dataclass in one."""
     converters = _to_plain_fields(typing.cast(type, type(message)))
     if not converters:
         return vars(message)
@@ -137,9 +137,9 @@
 
 
 def encode(message: Any) -> bytes:
-    """Encode a message with its type code.
+    """Return the encoding of a message, including its type code.
 
-    :raises MalformedMessageError: if a field does not fit the schema.
+    :raises MalformedMessageError: if a field does not match the schema.
     """
     code = CODES_BY_CLASS[type(message)]
     buffer = io.BytesIO()
@@ -152,10 +152,10 @@
 
 
 def decode(data: bytes) -> Any:
-    """Decode a message.
+    """Return a decoded message.
 
     :raises UnknownMessageError: if no message has the type code.
-    :raises MalformedMessageError: if the body does not follow the schema.
+    :raises MalformedMessageError: if the body does not match the schema.
     """
     if len(data) < _TYPE_CODE.size:
         raise MalformedMessageError("shorter than a type code")
--- a/yarrowwall/messages/entries.py
+++ b/yarrowwall/messages/entries.py
@@ -1,4 +1,4 @@
-"""Entries of a program's log, in the order a program's life writes them."""
+"""Entries of a program's log, in the usual order of a program's lifecycle."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -7,7 +7,7 @@
 
 
 class Priority(StrEnum):
-    """Scheduling class of a call or lookup; urgent goes first."""
+    """Scheduling class of a call or lookup; urgent ones come first."""
 
     URGENT = "urgent"
     ROUTINE = "routine"
@@ -36,10 +36,10 @@
 
 @message(60)
 class ProgramOpened:
-    """The first entry of every log.
+    """A program was opened; the first entry of every log.
 
-    :param budget_tokens: most tokens the program and its children may spend.
-    :param opened_at: seconds since the epoch.
+    :param budget_tokens: maximum number of tokens that the program and its children may spend.
+    :param opened_at: seconds since the Unix epoch.
     """
 
     program_id: str
@@ -52,11 +52,11 @@
 
 @message(61)
 class CallAccepted:
-    """A call joins the program's history with a budget reservation.
+    """A call was added to the program's history and its budget was reserved.
 
-    :param digest: hash of the request body; tells a repeat from a conflict.
-    :param messages: only what the call adds to the history.
-    :param reserved_tokens: upper bound of what one attempt may spend.
+    :param digest: hash of the request body, which distinguishes a repeat from a conflict.
+    :param messages: the messages that the call adds to the history.
+    :param reserved_tokens: upper bound of the tokens that one attempt may spend.
     """
 
     program_id: str
@@ -73,9 +73,9 @@
 
 @message(62)
 class CallDispatched:
-    """Chosen by a majority before the attempt's request leaves the owner.
+    """An attempt is sent to an engine; a majority accepts this entry before the request is sent.
 
-    :param hold: whether the engine is to keep the prefix until released.
+    :param hold: whether the engine keeps the prefix cached until it is released.
     """
 
     program_id: str
@@ -89,7 +89,7 @@
 
 @message(63)
 class AttemptNotRun:
-    """The engine proved that the attempt never started; it spent nothing."""
+    """The engine confirmed that the attempt never started, so it spent no tokens."""
 
     program_id: str
     call_number: int
@@ -98,7 +98,7 @@
 
 @message(64)
 class CallFinished:
-    """The whole answer of a call and what it spent."""
+    """The complete answer of a call and the tokens that it spent."""
 
     program_id: str
     call_number: int
@@ -113,9 +113,9 @@
 
 @message(65)
 class CallRefused:
-    """The request was refused and did not run; the caller may send it anew.
+    """The request was refused and did not run; the caller may retry it.
 
-    :param request_id: a late copy of this very request is refused as well.
+    :param request_id: id of the request; a late copy of it is refused too.
     """
 
     program_id: str
@@ -128,9 +128,9 @@
 
 @message(66)
 class AttemptLost:
-    """The outcome of an attempt cannot be known; its reservation is spent.
+    """The outcome of an attempt is unknown; its whole reservation counts as spent.
 
-    :param final: no further attempt follows, callers get ``outcome_unknown``.
+    :param final: whether no further attempt follows and callers get ``outcome_unknown``.
     """
 
     program_id: str
@@ -141,7 +141,7 @@
 
 @message(67)
 class ChildBudgetReserved:
-    """Part of the budget is set aside for a child program."""
+    """A part of the budget was reserved for a child program."""
 
     program_id: str
     child_program_id: str
@@ -150,7 +150,7 @@
 
 @message(68)
 class ChildBudgetSettled:
-    """A child ended; only what it spent stays charged to the parent."""
+    """A child ended; its reservation was settled to the tokens that it spent."""
 
     program_id: str
     child_program_id: str
@@ -159,7 +159,7 @@
 
 @message(69)
 class CacheReleased:
-    """An engine confirmed that it holds nothing more for the program."""
+    """An engine confirmed that it caches nothing more for the program."""
 
     program_id: str
     engine_id: str
@@ -167,7 +167,7 @@
 
 @message(70)
 class ProgramEnded:
-    """No further call is accepted; everything held is released after this."""
+    """The program ended: no further call is accepted, and its cached prefixes are released next."""
 
     program_id: str
     reason: EndReason
--- a/yarrowwall/messages/exceptions.py
+++ b/yarrowwall/messages/exceptions.py
@@ -1,15 +1,15 @@
-"""Errors of the message layer."""
+"""Exceptions of the message layer."""
 
 from yarrowwall.exceptions import YarrowwallError
 
 
 class MessageError(YarrowwallError):
-    """Base of the errors of this layer."""
+    """Base class of the exceptions of this layer."""
 
 
 class UnknownMessageError(MessageError):
-    """A frame carries a type code that no message has."""
+    """A frame has a type code that no message has."""
 
 
 class MalformedMessageError(MessageError):
-    """A frame's body does not follow the schema of its type."""
+    """A message or a frame's body does not match the schema of its type."""
--- a/yarrowwall/messages/generate.py
+++ b/yarrowwall/messages/generate.py
@@ -1,6 +1,6 @@
 """Write the Avro schemas of all messages: ``python -m yarrowwall.messages.generate``.
 
-The output is committed, so neither a build nor a run needs this step.
+The output is committed, so neither building nor running needs this step.
 """
 
 import dataclasses
@@ -19,7 +19,7 @@
 
 
 def _avro_type(hint: Any, declared: set[str]) -> Any:
-    """Return the Avro type of a field; a record is spelled out only the first time."""
+    """Return the Avro type of a field; a record is defined only at its first use."""
     origin = typing.get_origin(hint)
     if origin is list:
         return {"type": "array", "items": _avro_type(typing.get_args(hint)[0], declared)}
@@ -46,7 +46,7 @@
 
 
 def schema_text(code: int) -> str:
-    """Return the schema of a type code as the text of its file."""
+    """Return the text of the schema file of a type code."""
     return json.dumps(_record(CLASSES_BY_CODE[code], set()), indent=2) + "\n"
 
 
--- a/yarrowwall/messages/journal.py
+++ b/yarrowwall/messages/journal.py
@@ -9,15 +9,15 @@
 class Ballot:
     """The right to append to one program's log; higher ballots win.
 
-    :param counter: raised by every owner that takes over.
-    :param holder: the owner's node id and incarnation; breaks ties.
+    :param counter: increased by every owner that takes over.
+    :param holder: the owner's node id and incarnation, which break ties.
     """
 
     counter: int
     holder: str
 
 
-#: Lower than every ballot an owner can take.
+#: Lower than every ballot of an owner.
 ZERO_BALLOT = Ballot(0, "")
 
 
@@ -35,8 +35,8 @@
     """A replica promised the ballot.
 
     :param accepted_ballot: the ballot under which the log was last accepted.
-    :param chosen: length of the prefix the replica knows to be chosen.
-    :param entries: the replica's whole log of the program.
+    :param chosen: length of the prefix that the replica knows to be chosen by a majority.
+    :param entries: the replica's complete log of the program.
     """
 
     program_id: str
@@ -51,7 +51,7 @@
 class Append:
     """Ask a replica to accept entries from position ``start`` on.
 
-    :param chosen: length of the prefix the owner knows to be chosen.
+    :param chosen: length of the prefix that the owner knows to be chosen by a majority.
     """
 
     program_id: str
@@ -64,7 +64,7 @@
 
 @message(4)
 class Appended:
-    """A replica has accepted the owner's log up to ``length`` positions."""
+    """A replica has accepted the first ``length`` entries of the owner's log."""
 
     program_id: str
     ballot: Ballot
@@ -74,7 +74,7 @@
 
 @message(5)
 class BallotRefused:
-    """A replica has promised a higher ballot than the one it was sent."""
+    """A replica refused a ballot, since it has promised a higher one."""
 
     program_id: str
     ballot: Ballot
@@ -84,7 +84,7 @@
 
 @message(6)
 class ReplicaBehind:
-    """An append starts past what the replica holds for sure; resend from ``length``."""
+    """An append starts beyond the replica's matching prefix; resend from ``length`` on."""
 
     program_id: str
     ballot: Ballot
@@ -94,7 +94,7 @@
 
 @message(7)
 class ShardMapStale:
-    """The sender used an older shard map than the replica knows."""
+    """A request was refused, since its shard map is older than the replica's."""
 
     program_id: str
     replica_id: str
@@ -103,14 +103,14 @@
 
 @message(8)
 class SweepProgram:
-    """Ask a program's owner to load it and finish what is left to do."""
+    """Ask a program's owner to load the program and finish its pending work."""
 
     program_id: str
 
 
 @message(9)
 class CopyProgram:
-    """Ask a program's owner to bring its log to the replicas of a newer shard map."""
+    """Ask a program's owner to copy its log to the replicas of a newer shard map."""
 
     program_id: str
     map_version: int
@@ -126,14 +126,14 @@
 
 @message(15)
 class AskCopied:
-    """Ask a replica whether every log it has is on the replicas of a shard map."""
+    """Ask a replica whether all its logs are on a quorum of the replicas of a shard map."""
 
     map_version: int
 
 
 @message(16)
 class ReplicaCopied:
-    """Every log that a replica had is on a quorum of the replicas of a shard map."""
+    """All logs of a replica are on a quorum of the replicas of a shard map."""
 
     replica_id: str
     map_version: int
--- a/yarrowwall/messages/objects.py
+++ b/yarrowwall/messages/objects.py
@@ -1,4 +1,4 @@
-"""Messages between machines that read the platform's store and those that they read it for."""
+"""Messages between readers of the platform's store and the machines that they read it for."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -7,21 +7,22 @@
 
 
 class ObjectsStatus(StrEnum):
-    """How a reader took a question."""
+    """The outcome of a request to a reader."""
 
     OK = "ok"
-    #: The reader no longer knows the changes since the revision; list anew.
+    #: The reader no longer knows the changes since the revision; the client must list again.
     FORGOTTEN = "forgotten"
-    #: The reader itself gets no answers from the store, or none that is new enough.
+    #: The reader gets no answers from the store, or its data is too old for the request.
     OUT_OF_CONTACT = "out_of_contact"
 
 
 @dataclass(frozen=True)
 class RelayedObject:
-    """An object of the store, or the end of one.
+    """An object of the store, or its deletion.
 
     :param revision: the store's revision at its last change.
-    :param content: its specification and status, as JSON, compressed by zlib.
+    :param content: its specification and status as JSON, compressed with zlib.
+    :param is_gone: whether it was deleted.
     """
 
     name: str
@@ -32,9 +33,9 @@
 
 @message(130)
 class ListObjects:
-    """Return all objects of a kind.
+    """Request all objects of a kind.
 
-    :param least_revision: the revision that the list has to have at least.
+    :param least_revision: the lowest revision that the list may have.
     """
 
     kind: str
@@ -43,11 +44,12 @@
 
 @message(131)
 class WatchObjects:
-    """Return what changed after a revision, as soon as something did.
+    """Request the changes after a revision; the reply is sent as soon as there are any.
 
-    :param wait_s: seconds after which the answer comes without a change.
-    :param is_look: whether the asker looks for a reader: one that hears from the store answers
-        at once, and one that doesn't keeps the question until it does, ``wait_s`` at most.
+    :param wait_s: seconds after which a reply is sent even without changes.
+    :param is_look: whether this is a health check, sent to find a reader: a reader that gets
+        answers from the store replies at once; one that gets none waits for the store to
+        recover, for at most ``wait_s``.
     """
 
     kind: str
@@ -60,10 +62,11 @@
 class ObjectsReply:
     """Answer to :class:`ListObjects` and :class:`WatchObjects`.
 
-    :param revision: the store's revision that the objects bring a receiver to.
-    :param proved_after_s: a moment at which the store had acknowledged nothing newer, in
-        seconds from the arrival of the question, before it if negative; None if none is
-        known. Whoever asked counts it from the sending, which is never later.
+    :param revision: the store's revision that the receiver has after applying the objects.
+    :param proved_after_s: the time as of which the state is verified to be the newest, in seconds
+        after the arrival of the request, negative if before it; None if it was not verified. The
+        client adds it to the time at which it sent the request, which is never later than the
+        arrival.
     """
 
     status: ObjectsStatus
--- a/yarrowwall/messages/peers.py
+++ b/yarrowwall/messages/peers.py
@@ -1,4 +1,4 @@
-"""Messages between nodes other than those of the journal."""
+"""Messages between nodes that do not belong to the journal's protocol."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -7,7 +7,7 @@
 
 
 class MemberStatus(StrEnum):
-    """A member's status, as it says itself or as others found."""
+    """A member's status, as reported by itself or detected by others."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -16,10 +16,10 @@
 
 @dataclass(frozen=True)
 class MemberRecord:
-    """What gossip carries about one node.
+    """The state of one node in gossip messages.
 
-    :param incarnation: raised at every start of the node.
-    :param heartbeat: raised by the node itself every gossip round.
+    :param incarnation: increased at every start of the node.
+    :param heartbeat: increased by the node itself in every gossip round.
     """
 
     node_id: str
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True)
 class DocumentVersion:
-    """Name and version of a document a node has in force."""
+    """Name and version of a document that is in force at a node."""
 
     name: str
     version: int
@@ -40,9 +40,9 @@
 
 @dataclass(frozen=True)
 class Document:
-    """A versioned object of the platform as the nodes spread it.
+    """A versioned object of the platform, as exchanged between nodes.
 
-    :param body: JSON.
+    :param body: its content as JSON.
     """
 
     name: str
@@ -59,7 +59,7 @@
 
 @message(11)
 class DocumentStored:
-    """A replica stored the document, or has a newer version."""
+    """A replica has stored the document, or a newer version of it."""
 
     name: str
     version: int
@@ -68,14 +68,14 @@
 
 @message(12)
 class FetchDocuments:
-    """Ask a journal replica for the newest documents it stored."""
+    """Ask a journal replica for the newest documents that it has stored."""
 
     requester: str
 
 
 @message(13)
 class FetchedDocuments:
-    """The newest documents a replica stored."""
+    """The newest documents that a replica has stored."""
 
     replica_id: str
     documents: list[Document]
@@ -83,7 +83,7 @@
 
 @message(20)
 class Gossip:
-    """One gossip round: who is alive and which documents are in force."""
+    """One gossip round: the states of all members and the documents in force."""
 
     sender: str
     members: list[MemberRecord]
@@ -92,14 +92,14 @@
 
 @message(21)
 class DocumentPush:
-    """A document the receiver's digest lacked."""
+    """Send a document that the receiver lacks or has in an older version."""
 
     document: Document
 
 
 @message(22)
 class DocumentPull:
-    """Ask for a document of which the receiver has a newer version."""
+    """Request a document of which the receiver has a newer version."""
 
     requester: str
     name: str
@@ -107,9 +107,9 @@
 
 @message(30)
 class ForwardRequest:
-    """A caller's request on its way to the program's owner.
+    """A caller's request that is forwarded to the program's owner.
 
-    :param hops: how often it was forwarded; bounds loops between views.
+    :param hops: how often it was forwarded; limits loops between nodes whose views differ.
     :param body: the encoded request.
     """
 
@@ -132,9 +132,9 @@
 
 @message(32)
 class StreamChunk:
-    """Bytes of an engine's event stream, relayed as they came.
+    """Bytes of an engine's event stream, forwarded unchanged.
 
-    :param attempt: bytes of different attempts are never mixed.
+    :param attempt: number of the attempt; bytes of different attempts are never mixed.
     :param offset: position of the first byte in the attempt's stream.
     :param text_length: characters of the answer up to the end of ``data``.
     """
--- a/yarrowwall/messages/quotas.py
+++ b/yarrowwall/messages/quotas.py
@@ -1,4 +1,4 @@
-"""Messages between gateways and the replicas that lend them parts of tenants' limits."""
+"""Messages between gateways and the replicas that issue permits from shares of tenants' limits."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -7,23 +7,23 @@
 
 
 class QuotaStatus(StrEnum):
-    """How a lender took a question."""
+    """The outcome of a request for permits."""
 
     GRANTED = "granted"
-    #: The lender's part of the limit is used up for now.
+    #: The issuer's share of the limit is used up for now.
     NO_ROOM = "no_room"
-    #: The replica may not lend now: it is not of the group, has just joined it, hears too few
-    #: of the others, or its disk refused.
+    #: The replica may not issue permits now: it is not in the group, has just joined it, reaches
+    #: too few of the others, or failed to write the permits to its disk.
     NOT_ENTITLED = "not_entitled"
 
 
 @dataclass(frozen=True)
 class TenantLimit:
-    """A tenant's limit as a version of the configuration has it.
+    """A tenant's limit in one version of the configuration.
 
-    :param version: of the configuration; a lender goes by the newest that it was told.
-    :param rate_per_s: requests a second.
-    :param burst: requests on top of that in any window.
+    :param version: version of the configuration; an issuer applies the newest that it received.
+    :param rate_per_s: requests per second.
+    :param burst: requests that may exceed the rate in any window.
     """
 
     version: int
@@ -33,11 +33,12 @@
 
 @message(114)
 class TakeQuota:
-    """Lend credits for sending requests of a tenant.
+    """Request permits for sending requests of a tenant.
 
-    :param count: requests to be sent; fewer may be granted, but at least one.
-    :param program_size: if a program begins, the requests that it is expected to make; it is
-        welcome only if those of the programs begun lately still fit the agreed limit.
+    :param count: number of requests to be sent; fewer may be granted, but at least one.
+    :param program_size: if a program begins, the number of requests that it is expected to make,
+        else 0. It is admitted only if it and the recently admitted programs together fit the
+        agreed limit.
     """
 
     group: int
@@ -52,10 +53,10 @@
 class QuotaReply:
     """Answer to :class:`TakeQuota`.
 
-    :param granted: credits that were lent, each for one request.
-    :param ticket: by which unused credits are given back.
-    :param room: requests that could still be lent.
-    :param retry_after_s: seconds until there is room, if there is none.
+    :param granted: number of issued permits, each for one request.
+    :param ticket: identifies the permits when unused ones are returned.
+    :param room: number of permits that could still be issued.
+    :param retry_after_s: seconds until permits are available, if none were issued.
     """
 
     status: QuotaStatus
@@ -67,7 +68,7 @@
 
 @message(116)
 class ReturnQuota:
-    """Take back a credit that was not used; there is no reply."""
+    """Return an unused permit; there is no reply."""
 
     group: int
     disk_id: str
@@ -77,10 +78,11 @@
 
 @message(123)
 class QuotaLent:
-    """Log record: credits were lent.
+    """Log record: permits were issued.
 
-    :param wall_s: when, by the time of day.
-    :param steady_s: when, by the machine's monotonic clock.
+    :param count: number of permits.
+    :param wall_s: time of issue by the wall clock.
+    :param steady_s: time of issue by the machine's monotonic clock.
     """
 
     tenant: str
@@ -92,6 +94,6 @@
 
 @message(124)
 class LendingBegun:
-    """Log record: a replica that joined its group lends from now on."""
+    """Log record: a replica that joined its group has begun to issue permits."""
 
     epoch: int
--- a/yarrowwall/messages/records.py
+++ b/yarrowwall/messages/records.py
@@ -1,4 +1,4 @@
-"""What a journal replica writes to its disk, and how a start reads it back."""
+"""Log records that replicas write to their disks and read back at a start."""
 
 from yarrowwall.messages.journal import Ballot
 from yarrowwall.messages.peers import Document
@@ -35,7 +35,7 @@
 
 @message(83)
 class LogSnapshot:
-    """A program's log as one record; earlier records of it are obsolete."""
+    """A program's complete log in one record, which replaces its earlier records."""
 
     program_id: str
     promised: Ballot
--- a/yarrowwall/messages/registry.py
+++ b/yarrowwall/messages/registry.py
@@ -6,7 +6,7 @@
 
 _Message = TypeVar("_Message")
 
-#: Message classes by the type code that precedes them in a frame.
+#: Message classes by the type code that begins their encoding.
 CLASSES_BY_CODE: dict[int, type] = {}
 #: The inverse of :data:`CLASSES_BY_CODE`.
 CODES_BY_CLASS: dict[type, int] = {}
@@ -18,8 +18,8 @@
 def added_field(*, default: Any) -> Any:
     """Declare a field that was added to a message after its release.
 
-    It stands behind all fields that were released. Earlier releases pass over it, and a message of
-    theirs has the default.
+    It must follow all fields that were released. Earlier releases ignore it, and it has its default
+    in messages that they send.
     """
     return dataclasses.field(default=default, metadata={_ADDED: True})
 
@@ -33,11 +33,11 @@
 
 @dataclass_transform(frozen_default=True, field_specifiers=(added_field,))
 def message(code: int) -> Callable[[type[_Message]], type[_Message]]:
-    """Declare a class as a frozen dataclass that travels between nodes.
+    """Declare a class as a message: a frozen dataclass that nodes exchange or write to disk.
 
-    :param code: the unique type code; never reused once released.
+    :param code: the unique type code, which is never reused once released.
     :returns: a class decorator.
-    :raises ValueError: if the code is taken.
+    :raises ValueError: if another class has the code.
     """
 
     def register(cls: type[_Message]) -> type[_Message]:
--- a/yarrowwall/messages/relaying.py
+++ b/yarrowwall/messages/relaying.py
@@ -1,4 +1,4 @@
-"""Messages by which a gateway out of the replicas' reach goes through a neighbour."""
+"""Messages of gateways that reach replicas or readers only through a neighbour."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -10,7 +10,7 @@
 class Neighbour:
     """A gateway that forwards requests.
 
-    :param address: ``IP:port`` where it takes them.
+    :param address: ``IP:port`` where it accepts them.
     """
 
     node_id: str
@@ -19,26 +19,27 @@
 
 
 class ForwardStatus(StrEnum):
-    """How a gateway took a request to be forwarded."""
+    """The outcome of a request to forward."""
 
     OK = "ok"
-    #: It forwards as much as it may already.
+    #: The neighbour has reached its limit of forwarded requests or bytes.
     BUSY = "busy"
-    #: It seems to be cut off from the replicas itself.
+    #: The neighbour seems to be cut off from the replicas too.
     OUT_OF_REACH = "out_of_reach"
-    #: It reaches others, and this replica does not answer it either.
+    #: The neighbour reaches others, but this replica does not answer it either.
     NO_ANSWER = "no_answer"
-    #: The address is no replica's, or the request is to be forwarded once more.
+    #: The address is neither a replica's nor a reader's, or the request may not be forwarded, such
+    #: as one that was forwarded already.
     REFUSED = "refused"
 
 
 @message(140)
 class Forward:
-    """Pass a request on to a replica, over the receiver's own connection; once only.
+    """Ask a neighbour to forward a request to a replica or reader over its own connection.
 
-    :param node_id: the gateway that asks.
-    :param address: of the replica.
-    :param request: the encoded request.
+    :param node_id: the gateway that sends the request.
+    :param address: address of the replica or reader.
+    :param request: the encoded request; it can't be another :class:`Forward`.
     """
 
     node_id: str
@@ -50,7 +51,7 @@
 class Forwarded:
     """Answer to :class:`Forward`.
 
-    :param reply: the replica's encoded reply; empty without one.
+    :param reply: the encoded reply of the replica or reader; empty without one.
     """
 
     status: ForwardStatus
@@ -59,7 +60,7 @@
 
 @message(142)
 class AskNeighbours:
-    """Return gateways that would forward requests of this one; it would do so for others."""
+    """Request neighbours that forward for this gateway, and offer it as a neighbour to others."""
 
     gateway: Neighbour
 
--- a/yarrowwall/messages/replicated.py
+++ b/yarrowwall/messages/replicated.py
@@ -1,8 +1,8 @@
-"""Messages of the replicated record store: between gateways and replicas, and among replicas.
+"""Messages of the replicated record store, between gateways and replicas and among replicas.
 
-A record has a single writer; a higher version of it replaces a lower one. Every
-request names the epoch of the group that its sender knows and the disk that it is
-meant for; a replica answers only in its own epoch.
+Each record has a single writer, and a higher version replaces a lower one. Requests for records
+contain the epoch of the group that the sender knows and the id of the disk that they address. A
+replica only executes requests of its own epoch.
 """
 
 from dataclasses import dataclass
@@ -13,16 +13,16 @@
 
 
 class ReplyStatus(StrEnum):
-    """How a replica took a request."""
+    """The outcome of a request to a replica."""
 
     OK = "ok"
-    #: The sender's epoch is older than the replica's; the reply has the newer view.
+    #: The sender's epoch is older than the replica's; the reply contains the newer view.
     STALE = "stale"
-    #: The replica does not know the sender's epoch yet.
+    #: The replica is in another group or does not know the sender's epoch yet.
     BEHIND = "behind"
-    #: The replica has another disk than the one that was meant.
+    #: The replica's disk is not the addressed one.
     OTHER_DISK = "other_disk"
-    #: The disk refused the write.
+    #: Writing to the disk failed.
     DISK_REFUSED = "disk_refused"
 
 
@@ -30,8 +30,9 @@
 class Member:
     """A replica of a group.
 
-    :param disk_id: made with the data folder; a replica that lost its disk is another one.
-    :param address: ``IP:port`` where it takes requests.
+    :param disk_id: id created with the data folder; after the loss of its disk, a machine's replica
+        counts as another one.
+    :param address: ``IP:port`` where it accepts requests.
     """
 
     node_id: str
@@ -42,9 +43,9 @@
 
 @dataclass(frozen=True)
 class GroupView:
-    """The replicas of a group as of an epoch.
+    """The replicas of a group in one epoch.
 
-    :param joining: while the group changes, the members it will have; empty otherwise.
+    :param joining: the members after the change while the group changes; empty otherwise.
     """
 
     group: int
@@ -55,12 +56,12 @@
 
 @dataclass(frozen=True)
 class StoredRecord:
-    """A record.
+    """A record of the store.
 
-    :param owner: what the record is counted for, a program; empty for none.
-    :param link: key of the record that this one goes on from; empty for none.
-    :param retention: seconds that the record is kept after it or one that goes on from
-        it was written.
+    :param owner: the program whose records include this one; empty for none.
+    :param link: key of the record that this one continues; empty for none.
+    :param retention: seconds for which the record, those it continues from and the other records
+        of its owner are kept after it was stored.
     """
 
     key: str
@@ -84,7 +85,7 @@
 
 @message(101)
 class ReadOwner:
-    """Return keys, versions and amounts of all records of an owner."""
+    """Request the keys, versions and amounts of all records of an owner."""
 
     group: int
     epoch: int
@@ -94,7 +95,10 @@
 
 @message(102)
 class ReadChain:
-    """Return a record and those it goes on from, up to one that the sender has."""
+    """Request a record and those it continues from, up to one that the sender has.
+
+    :param known: keys of records that the sender has.
+    """
 
     group: int
     epoch: int
@@ -105,7 +109,7 @@
 
 @message(103)
 class ListKeys:
-    """Return keys and versions of all records."""
+    """Request the keys and versions of all records."""
 
     group: int
     epoch: int
@@ -114,7 +118,7 @@
 
 @message(104)
 class FetchRecords:
-    """Return records by key."""
+    """Request records by key."""
 
     group: int
     epoch: int
@@ -124,24 +128,24 @@
 
 @message(105)
 class AskStatus:
-    """Return the replica's state."""
+    """Request the replica's status."""
 
     group: int
 
 
 @message(106)
 class InstallView:
-    """Take a newer view of the group."""
+    """Install a newer view of the group."""
 
     view: GroupView
 
 
 @message(107)
 class ReportLoad:
-    """Take what a gateway has under way; return the sum of all others.
+    """Report a gateway's load, and request the total load of all others.
 
-    :param running: requests by server; runs parallel to ``servers``.
-    :param services: programs and what they keep, by service with engines.
+    :param running: requests in progress at each of ``servers``.
+    :param services: active programs at each service with engines.
     """
 
     node_id: str
@@ -152,7 +156,10 @@
 
 @message(108)
 class ReserveRecord:
-    """Store a record and return what is held of its owner, itself included."""
+    """Store a record, and request the keys, versions and amounts of its owner's records.
+
+    The reply includes the record itself.
+    """
 
     group: int
     epoch: int
@@ -162,10 +169,10 @@
 
 @message(109)
 class TellLoad:
-    """Take what a gateway has under way; there is no reply.
+    """Report a gateway's load; there is no reply.
 
-    :param running: requests by server; runs parallel to ``servers``.
-    :param services: programs and what they keep, by service with engines.
+    :param running: requests in progress at each of ``servers``.
+    :param services: active programs at each service with engines.
     """
 
     node_id: str
@@ -176,10 +183,10 @@
 
 @message(110)
 class RecordsReply:
-    """Answer to requests about records.
+    """Answer to requests for records.
 
     :param is_reader: whether the replica counts for a read quorum.
-    :param view: the replica's view if the epochs differ.
+    :param view: the replica's view if the sender's epoch is older.
     """
 
     status: ReplyStatus
@@ -190,9 +197,11 @@
 
 @message(111)
 class KeysReply:
-    """Answer to requests for keys, versions and amounts; the lists run in parallel.
+    """Answer to requests for keys, versions and amounts; the lists are parallel.
 
-    :param note: value of the owner's newest record that has one, as text; empty for none.
+    :param is_reader: whether the replica counts for a read quorum.
+    :param note: value, as text, of the owner's newest record that has one; empty for none.
+    :param view: the replica's view if the sender's epoch is older.
     """
 
     status: ReplyStatus
@@ -208,7 +217,8 @@
 class StatusReply:
     """Answer to :class:`AskStatus` and :class:`InstallView`.
 
-    :param synchronised_epoch: the last epoch in which it copied all that was complete.
+    :param is_reader: whether the replica counts for a read quorum.
+    :param synchronised_epoch: the newest epoch in which it finished copying all complete records.
     """
 
     node_id: str
@@ -222,9 +232,9 @@
 class LoadReply:
     """Answer to :class:`ReportLoad`.
 
-    :param running: requests of all other gateways by server; runs parallel to ``servers``.
+    :param running: requests of all other gateways in progress at each of ``servers``.
     :param interval_s: seconds after which the gateway should report again.
-    :param reporters: gateways that report, this one included.
+    :param reporters: number of gateways that report, including this one.
     """
 
     servers: list[str]
@@ -235,12 +245,16 @@
 
 @message(117)
 class AskStatuses:
-    """Return the states of both replicas of a machine: that of a common group, then its zone's."""
+    """Request the statuses of both replicas of a machine."""
 
 
 @message(118)
 class StatusesReply:
-    """Answer to :class:`AskStatuses`."""
+    """Answer to :class:`AskStatuses`.
+
+    :param common: status of the replica of a common group.
+    :param zone: status of the replica of the zone's own group.
+    """
 
     common: StatusReply
     zone: StatusReply
@@ -248,23 +262,23 @@
 
 @message(120)
 class RecordsKept:
-    """Log record: records that the replica acknowledged."""
+    """Log record: records that the replica stored."""
 
     records: list[StoredRecord]
 
 
 @message(121)
 class ViewKept:
-    """Log record: a view that the replica took."""
+    """Log record: a view that the replica installed."""
 
     view: GroupView
 
 
 @message(122)
 class SynchronisationKept:
-    """Log record: the replica holds all that was complete before an epoch.
+    """Log record: the replica has all records that were complete before an epoch.
 
-    :param is_reader: whether it counts for a read quorum from now on.
+    :param is_reader: whether it counts for a read quorum from then on.
     """
 
     epoch: int
--- a/yarrowwall/messages/requests.py
+++ b/yarrowwall/messages/requests.py
@@ -1,4 +1,4 @@
-"""Requests of callers and their replies; forwarded between gateways."""
+"""Requests of callers and their replies, which nodes forward to each other."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -8,7 +8,7 @@
 
 
 class ErrorType(StrEnum):
-    """The ``type`` of an error answer."""
+    """The ``type`` of an error response."""
 
     NOT_RUN = "not_run"
     OUTCOME_UNKNOWN = "outcome_unknown"
@@ -21,7 +21,7 @@
 
 @message(40)
 class OpenProgram:
-    """Open a program; the gateway makes the id, so a repeat is harmless."""
+    """Open a program; the gateway chooses the id, so a repeat is harmless."""
 
     program_id: str
     tenant: str
@@ -34,8 +34,8 @@
 class SubmitCall:
     """Run one call of a program.
 
-    :param call_number: 1, 2, ... in the order the program makes its calls.
-    :param single: the program is opened and ended with this one call.
+    :param call_number: 1, 2, ... in the order of the program's calls.
+    :param single: whether the program consists of this call, which opens and ends it.
     """
 
     program_id: str
@@ -68,7 +68,7 @@
 
 @message(44)
 class ReserveChildBudget:
-    """Sent by a child's owner: set budget aside in the parent's log."""
+    """Sent by a child's owner: reserve budget for the child in the parent's log."""
 
     program_id: str
     child_program_id: str
@@ -77,7 +77,7 @@
 
 @message(45)
 class SettleChildBudget:
-    """Sent by an ended child's owner: charge only what the child spent."""
+    """Sent by an ended child's owner: settle the reservation to the tokens that it spent."""
 
     program_id: str
     child_program_id: str
@@ -101,7 +101,7 @@
 
 @message(50)
 class ProgramReply:
-    """A program as its owner knows it."""
+    """A program's state, as known to its owner."""
 
     program_id: str
     tenant: str
@@ -115,7 +115,7 @@
 
 @message(51)
 class CallReply:
-    """The whole answer of one call."""
+    """The complete answer of one call."""
 
     program_id: str
     call_number: int
@@ -130,9 +130,9 @@
 
 @message(52)
 class ErrorReply:
-    """A request that has no answer, and why.
+    """The error with which a request ended.
 
-    :param retry_after: seconds after which the caller may try again; 0 if never.
+    :param retry_after: seconds after which the caller may retry; 0 if it should not.
     """
 
     error_type: ErrorType
