--- a/yarrowwall/cli/__init__.py
+++ b/yarrowwall/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line, one module a command group."""
+"""The command line, with one module per command or group of commands."""
--- a/yarrowwall/cli/conversations.py
+++ b/yarrowwall/cli/conversations.py
@@ -1,4 +1,4 @@
-"""Conversations that went on and reached no server, by what refused them, from logs."""
+"""Command that lists continued conversations that reached no server, from logs."""
 
 import json
 from collections import Counter
@@ -14,60 +14,60 @@
 from yarrowwall.cli.explain import read_lines
 
 
-class Refused(StrEnum):
-    """Why a turn that goes on from an earlier one was not sent."""
+class RefusalCause(StrEnum):
+    """Why a turn that continues an earlier one was not sent."""
 
-    #: Every group that may keep the turn before says that it has none.
+    #: No group that may store the previous turn has it.
     UNKNOWN = "the turn before is unknown"
-    #: Too few replicas answered to tell.
+    #: Too few replicas answered to determine whether the previous turns exist.
     UNREADABLE = "the turns before could not be read"
-    #: The turns before were read; there was no room for the program.
-    ROOM = "refused for want of room, its turns were read"
-    #: The turns before were read; it was refused for another reason.
+    #: The previous turns were read, but the servers had no capacity for the program.
+    CAPACITY = "refused for want of room, its turns were read"
+    #: The previous turns were read, but the turn was refused for another reason.
     OTHER = "refused for another reason, its turns were read"
 
 
 class UnservedProgram(NamedTuple):
-    """A program that went on from a turn and reached no server.
+    """A program that continued from a turn and reached no server.
 
-    :param tenant: whose it is; empty if untold.
-    :param begun_s: when its first attempt came.
-    :param ended_s: when its last one was refused.
-    :param refused: its refused attempts, by why.
-    :param reasons: the same, by the reason that was told.
+    :param tenant: name of its tenant; empty if not given.
+    :param begun_s: arrival of its first attempt.
+    :param ended_s: refusal of its last attempt.
+    :param refused: number of its refused attempts by cause.
+    :param reasons: number of its refused attempts by logged reason.
     """
 
     program_id: str
     tenant: str
     begun_s: float
     ended_s: float
-    refused: Counter[Refused]
+    refused: Counter[RefusalCause]
     reasons: Counter[str]
 
     @property
     def tries(self) -> int:
-        """Return how often it was refused."""
+        """Return the number of refused attempts."""
         return self.refused.total()
 
 
-class _Turn:
-    """An attempt that goes on from a turn, as far as its log was read."""
+class _ContinuedAttempt:
+    """An attempt that continues from a turn, as described by its log lines so far."""
 
     def __init__(self, line: dict[str, Any]) -> None:
         self.program_id: str = line["program"]
         self.tenant: str = line.get("tenant", "")
         self.begun_s: float = line["time"]
         self.ended_s: float = line["time"]
-        self.is_read = False
+        self.has_previous_turns = False
         self.is_sent = False
         self.status = 0
         self.reason = ""
 
-    def take(self, line: dict[str, Any]) -> None:
-        """Take in a further line of the attempt."""
+    def apply(self, line: dict[str, Any]) -> None:
+        """Update the state by another line of the attempt."""
         match line["kind"]:
             case "ChainLookedUp":
-                self.is_read = line["outcome"] in ("cached", "fetched")
+                self.has_previous_turns = line["outcome"] in ("cached", "fetched")
             case "AttemptSent":
                 self.is_sent = True
             case "AttemptRefused":
@@ -76,48 +76,48 @@
 
     @property
     def program(self) -> tuple[str, str]:
-        """Return its program, whose id is one of its tenant's."""
+        """Return tenant and program id; a program's id is unique only within its tenant."""
         return self.tenant, self.program_id
 
     @property
-    def refused(self) -> Refused:
-        """Return why it was refused."""
+    def cause(self) -> RefusalCause:
+        """Return why the attempt was refused."""
         if self.status == HTTPStatus.NOT_FOUND:
-            return Refused.UNKNOWN
-        if not self.is_read:
-            return Refused.UNREADABLE
-        return Refused.ROOM if self.reason.startswith(NO_CAPACITY) else Refused.OTHER
+            return RefusalCause.UNKNOWN
+        if not self.has_previous_turns:
+            return RefusalCause.UNREADABLE
+        return RefusalCause.CAPACITY if self.reason.startswith(NO_CAPACITY) else RefusalCause.OTHER
 
 
 def unserved_programs(lines: Iterable[dict[str, Any]]) -> list[UnservedProgram]:
-    """Return the programs that went on from a turn and reached no server, most tries first.
+    """Return the programs that continued from a turn and reached no server, most attempts first.
 
-    :param lines: those of one gateway in the order in which it wrote them.
+    :param lines: log lines; the lines of each gateway must be in their original order.
     """
-    turns: dict[str, _Turn] = {}
+    attempts: dict[str, _ContinuedAttempt] = {}
     for line in lines:
         attempt_id = line.get("attempt", "")
         if line["kind"] == "AttemptAdmitted" and line.get("program") and line.get("previous"):
-            turns[attempt_id] = _Turn(line)
-        elif attempt_id in turns:
-            turns[attempt_id].take(line)
-    served = {turn.program for turn in turns.values() if turn.is_sent}
-    by_program: dict[tuple[str, str], list[_Turn]] = {}
-    for turn in turns.values():
-        if turn.program not in served and turn.status:
-            by_program.setdefault(turn.program, []).append(turn)
-    found = [_unserved(own) for own in by_program.values()]
+            attempts[attempt_id] = _ContinuedAttempt(line)
+        elif attempt_id in attempts:
+            attempts[attempt_id].apply(line)
+    served = {attempt.program for attempt in attempts.values() if attempt.is_sent}
+    by_program: dict[tuple[str, str], list[_ContinuedAttempt]] = {}
+    for attempt in attempts.values():
+        if attempt.program not in served and attempt.status:
+            by_program.setdefault(attempt.program, []).append(attempt)
+    found = [_unserved_program(program_attempts) for program_attempts in by_program.values()]
     return sorted(found, key=lambda program: -program.tries)
 
 
-def _unserved(turns: list[_Turn]) -> UnservedProgram:
+def _unserved_program(attempts: list[_ContinuedAttempt]) -> UnservedProgram:
     return UnservedProgram(
-        turns[0].program_id,
-        turns[0].tenant,
-        min(turn.begun_s for turn in turns),
-        max(turn.ended_s for turn in turns),
-        Counter(turn.refused for turn in turns),
-        Counter(turn.reason for turn in turns),
+        attempts[0].program_id,
+        attempts[0].tenant,
+        min(attempt.begun_s for attempt in attempts),
+        max(attempt.ended_s for attempt in attempts),
+        Counter(attempt.cause for attempt in attempts),
+        Counter(attempt.reason for attempt in attempts),
     )
 
 
@@ -125,24 +125,25 @@
 @click.argument("logs", nargs=-1, required=True, type=click.Path(exists=True, path_type=Path))
 @click.option("--output", type=click.Choice(["text", "json"]), default="text")
 def conversations(logs: tuple[Path, ...], output: str) -> None:
-    """List the programs that went on from an earlier turn and reached no server.
+    """List the programs that continued from an earlier turn and reached no server.
 
-    LOGS are files of decision lines, of all gateways, plain or gzipped. It is told whether the
-    turns before were unknown, could not be read, or were read and the turn was refused.
+    LOGS are files of decision lines of all gateways, plain or gzipped. For each program the
+    output states whether the previous turns were unknown, could not be read, or were read and
+    the turn was refused.
     """
     programs = unserved_programs(line for path in logs for line in read_lines(path))
     for program in programs:
         if output == "json":
             click.echo(json.dumps(program._asdict()))
         else:
-            click.echo(_described(program))
+            click.echo(_format_program(program))
     if output == "text":
-        total: Counter[Refused] = sum((one.refused for one in programs), Counter())
+        total: Counter[RefusalCause] = sum((one.refused for one in programs), Counter())
         for refused, count in total.most_common():
             click.echo(f"{count:5d} tries: {refused}")
 
 
-def _described(program: UnservedProgram) -> str:
+def _format_program(program: UnservedProgram) -> str:
     causes = ", ".join(f"{refused} {count}" for refused, count in program.refused.most_common())
     lasted_s = program.ended_s - program.begun_s
     tries = f"{program.tries} tries in {lasted_s:.1f} s"
--- a/yarrowwall/cli/experiment.py
+++ b/yarrowwall/cli/experiment.py
@@ -1,4 +1,4 @@
-"""The experiment: all policies side by side on the same workloads."""
+"""Command that compares the scheduling policies on the same workloads."""
 
 import json
 import statistics
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True)
 class Row:
-    """The figures of one policy, the median over the seeds."""
+    """The results of one policy: medians over the seeds, and the total of violations."""
 
     policy: str
     program_p50: float
@@ -32,9 +32,9 @@
 
 
 def parse_seeds(text: str) -> list[int]:
-    """Return the seeds of ``A-B``.
+    """Return the seeds of a range ``A-B``.
 
-    :raises click.BadParameter: if it is something else.
+    :raises click.BadParameter: if the text is not such a range.
     """
     first, _, last = text.partition("-")
     if not (first.isdigit() and last.isdigit()) or int(first) > int(last):
@@ -85,7 +85,7 @@
 
 
 def draw(rows: list[Row], title: str, path: Path) -> None:
-    """Draw the table as a picture."""
+    """Plot the rows as bar charts and write them to a file."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -109,7 +109,7 @@
 
 @click.command()
 @click.option("--deployment", type=click.Choice(sorted(DEPLOYMENTS)), required=True)
-@click.option("--seeds", default="1-10", show_default=True, help="First and last, A-B.")
+@click.option("--seeds", default="1-10", show_default=True, help="Range of seeds, A-B.")
 @click.option("--programs", type=click.IntRange(1), default=400, show_default=True)
 @click.option("--load", type=click.FloatRange(0.01, 5.0), default=0.9, show_default=True)
 @click.option("--faults", default="none", show_default=True, help="all, none, or kinds.")
--- a/yarrowwall/cli/explain.py
+++ b/yarrowwall/cli/explain.py
@@ -1,4 +1,4 @@
-"""The story of one request or program, from the logs of many processes."""
+"""Command that shows the log lines of one request or program, from many processes' logs."""
 
 import gzip
 import json
@@ -19,23 +19,23 @@
 @click.argument("logs", nargs=-1, required=True, type=click.Path(exists=True, path_type=Path))
 @click.option("--output", type=click.Choice(["text", "json"]), default="text")
 def explain(identifier: str, logs: tuple[Path, ...], output: str) -> None:
-    """Tell what became of a request or program, by its id, in order.
+    """Show the log lines of a request or program, given its id, in order.
 
-    LOGS are files of decision lines, of any number of processes, plain or gzipped; a
-    prefix before a line's JSON is passed over. Exit code 1 if nothing names the id.
+    LOGS are files of decision lines of any number of processes, plain or gzipped; a prefix
+    before a line's JSON is ignored. The exit code is 1 if no line contains the id.
     """
-    story = find_story(identifier, logs)
-    if not story:
+    trace = find_trace(identifier, logs)
+    if not trace:
         click.echo(f"no line names {identifier}", err=True)
         sys.exit(EXIT_UNKNOWN)
-    for line in story:
-        click.echo(json.dumps(line) if output == "json" else describe(line, story[0]["time"]))
+    for line in trace:
+        click.echo(json.dumps(line) if output == "json" else format_line(line, trace[0]["time"]))
 
 
-def find_story(identifier: str, logs: tuple[Path, ...]) -> list[dict[str, Any]]:
-    """Return the lines that belong to an id, a program's with those of its attempts.
+def find_trace(identifier: str, logs: tuple[Path, ...]) -> list[dict[str, Any]]:
+    """Return the lines of an attempt, or of a program and its attempts, ordered by time.
 
-    Lines of one process stay in the order in which it wrote them, whatever its clock did.
+    Lines of one process stay in the order in which it wrote them, even if its clock was set back.
     """
     lines = [line for path in logs for line in read_lines(path)]
     names = {identifier}
@@ -44,17 +44,17 @@
         for line in lines
         if line.get("program") == identifier and line.get("attempt")
     }
-    story = [line for line in lines if names & {line.get("attempt"), line.get("program")}]
+    trace = [line for line in lines if names & {line.get("attempt"), line.get("program")}]
     latest: dict[str, float] = {}
-    for line in story:
+    for line in trace:
         node = line.get("node", "")
         latest[node] = max(line.get("time", 0.0), latest.get(node, 0.0))
         line["time"] = latest[node]
-    return sorted(story, key=lambda line: line["time"])
+    return sorted(trace, key=lambda line: line["time"])
 
 
 def read_lines(path: Path) -> Iterator[dict[str, Any]]:
-    """Return the decisions of a file; whatever is no decision is passed over."""
+    """Return the decision lines of a file; other lines are ignored."""
     data = path.read_bytes()
     if data.startswith(_GZIP_MAGIC):
         data = gzip.decompress(data)
@@ -70,8 +70,11 @@
             yield line
 
 
-def describe(line: dict[str, Any], started_at: float) -> str:
-    """Return one line of the story."""
+def format_line(line: dict[str, Any], started_at: float) -> str:
+    """Return a decision line as text, with the time since the first one.
+
+    :param started_at: time of the first line.
+    """
     values = " ".join(f"{name}={value}" for name, value in line.items() if name not in _HIDDEN)
     return (
         f"{line['time'] - started_at:9.4f} s  {line.get('node', ''):<20} {line['kind']}  {values}"
--- a/yarrowwall/cli/failures.py
+++ b/yarrowwall/cli/failures.py
@@ -1,4 +1,4 @@
-"""Programs that failed, by what ended them, from the logs of many processes."""
+"""Command that lists failed or late programs and their causes, from many processes' logs."""
 
 import json
 from collections import Counter, defaultdict
@@ -15,7 +15,7 @@
 from yarrowwall.gateway.connection_ends import ConnectionEndReason
 from yarrowwall.policy.freshness import TOO_OLD
 
-_ENDS = {
+_END_KINDS = {
     "AttemptAnswered",
     "AttemptRefused",
     "AnswerBrokenOff",
@@ -27,41 +27,41 @@
 
 
 class Cause(StrEnum):
-    """What ended a program, worst first where several of its attempts failed at once."""
+    """Why a program failed, most severe first, for programs with several failed attempts."""
 
-    #: The gateway died while a request that may not be repeated was under way. Nobody can
-    #: tell whether it ran, so nobody may send it again: no policy saves the program.
+    #: The gateway died while a request that may not be repeated was in progress. Whether it ran
+    #: cannot be determined, so it may not be sent again, and no policy can save the program.
     DIED_UNREPEATABLE = "gateway died, request may not be repeated"
     #: A server gave no usable answer to a request that may not be repeated.
     LOST_UNREPEATABLE = "answer lost, request may not be repeated"
-    #: The gateway died; the caller may ask again, and found nobody in time.
+    #: The gateway died; the caller may retry, but reached no other gateway in time.
     DIED_REPEATABLE = "gateway died, caller came back to nobody"
-    #: No tenant held the caller's key.
+    #: The caller's key belongs to no tenant.
     KEY_UNKNOWN = "key unknown"
-    #: The tenant's limit had no room, and the program did not come again in time.
-    LIMIT = "refused by its tenant's limit"
-    #: The configuration was too old to tell whether the key still holds.
-    AGE = "refused for the configuration's age"
-    #: The servers were full, and the program did not find room when it came again.
-    ROOM = "refused for want of room"
-    #: The gateway refused: not run.
+    #: The tenant's limit was used up, and the program was not retried in time.
+    RATE_LIMIT = "refused by its tenant's limit"
+    #: The configuration was too old to determine whether the key is still valid.
+    STALE_CONFIGURATION = "refused for the configuration's age"
+    #: The servers had no capacity, neither at the first attempt nor at a retry.
+    CAPACITY = "refused for want of room"
+    #: The gateway refused the request, which did not run.
     REFUSED = "refused as not run"
-    #: No server answered a request that may be repeated within its time.
+    #: No server answered a request that may be repeated before its timeout.
     TIMED_OUT = "no answer in time, request may be repeated"
-    #: The gateway broke a stream off.
+    #: The gateway cut off an answer that could not be completed.
     BROKEN_OFF = "answer broken off"
-    #: The connection ended before the answer did, without a fault of its caller.
+    #: The connection ended before its answer, and the caller did not cause that.
     CONNECTION_ENDED = "connection ended before its answer"
-    #: A fault of the program.
-    FAULT = "fault of the program"
-    #: The caller took or sent nothing for too long.
+    #: An unexpected exception in the gateway.
+    INTERNAL_FAULT = "fault of the program"
+    #: The caller read or sent nothing for too long.
     CALLER_GIVEN_UP = "caller given up"
-    #: The caller left.
+    #: The caller closed its connection.
     CALLER_LEFT = "caller left"
 
     @property
-    def could_be_saved(self) -> bool:
-        """Return whether a policy of the gateways might have saved the program."""
+    def is_avoidable(self) -> bool:
+        """Return whether a different policy of the gateways might have saved the program."""
         return self not in (
             Cause.DIED_UNREPEATABLE,
             Cause.LOST_UNREPEATABLE,
@@ -69,27 +69,27 @@
         )
 
 
-#: Causes of a gateway's own answers that are told by their status alone.
-_REFUSALS = {401: Cause.KEY_UNKNOWN, 429: Cause.LIMIT}
-#: Causes that are told by the kind of the last line alone.
-_CAUSES = {
+#: Causes of the gateways' own answers that follow from their status.
+_CAUSES_BY_STATUS = {401: Cause.KEY_UNKNOWN, 429: Cause.RATE_LIMIT}
+#: Causes that follow from the kind of the last line.
+_CAUSES_BY_KIND = {
     "AnswerBrokenOff": Cause.BROKEN_OFF,
     "CallerLeft": Cause.CALLER_LEFT,
     "CallerGivenUp": Cause.CALLER_GIVEN_UP,
-    "InternalFault": Cause.FAULT,
+    "InternalFault": Cause.INTERNAL_FAULT,
 }
-#: Reasons of ``ConnectionEnded`` that lie with the caller or its way here.
-_LEFT = {ConnectionEndReason.LEFT_WHILE_WRITING, ConnectionEndReason.WRITE_FAILED}
+#: Reasons in ``ConnectionEnded`` lines that are caused by the caller or its network path.
+_CALLER_REASONS = {ConnectionEndReason.LEFT_WHILE_WRITING, ConnectionEndReason.WRITE_FAILED}
 
 
 class Attempt(NamedTuple):
-    """One attempt of a caller, as a log tells it.
+    """One attempt of a caller, as described by a log.
 
-    :param ended_s: when it ended, at the latest with its gateway's process; None if it is
-        still under way where the log ends.
-    :param end: the line of its end; empty if its gateway died.
-    :param tenant: whose it was; empty if untold.
-    :param finish_s: when its program should have been over; None if untold.
+    :param ended_s: when it ended, at the latest with its gateway's process; None if it was still
+        in progress at the end of the log.
+    :param end: the line of its end; empty if its gateway died or the log ended before.
+    :param tenant: name of its tenant; empty if not given.
+    :param finish_s: deadline of its program; None if not given.
     """
 
     attempt_id: str
@@ -105,27 +105,27 @@
 
 
 class FailedProgram(NamedTuple):
-    """A program that failed, and the attempt that ended it."""
+    """A failed program, with the cause and the attempt that failed."""
 
     cause: Cause
     attempt: Attempt
 
 
 def read_attempts(lines: Iterable[dict[str, Any]]) -> list[Attempt]:
-    """Return the attempts of programs, in the order in which they came.
+    """Return the attempts of programs, ordered by arrival.
 
-    :param lines: those of one gateway in the order in which it wrote them.
+    :param lines: log lines; the lines of each gateway must be in their original order.
     """
     found: dict[str, Attempt] = {}
-    open_at: dict[str, set[str]] = defaultdict(set)
-    seen_s: dict[str, float] = {}
+    open_by_node: dict[str, set[str]] = defaultdict(set)
+    last_seen_s: dict[str, float] = {}
     for line in lines:
         attempt_id = line.get("attempt", "")
         node = line["node"]
         if line["kind"] == "ProcessChanged" and line["change"] == "started":
-            for lost_id in open_at.pop(node, ()):
-                found[lost_id] = found[lost_id]._replace(ended_s=seen_s[node])
-        seen_s[node] = line["time"]
+            for lost_id in open_by_node.pop(node, ()):
+                found[lost_id] = found[lost_id]._replace(ended_s=last_seen_s[node])
+        last_seen_s[node] = line["time"]
         if line["kind"] == "AttemptAdmitted" and line.get("program"):
             found[attempt_id] = Attempt(
                 attempt_id,
@@ -139,10 +139,10 @@
                 line.get("tenant", ""),
                 _finish_s(line),
             )
-            open_at[node].add(attempt_id)
-        elif line["kind"] in _ENDS and attempt_id in found:
+            open_by_node[node].add(attempt_id)
+        elif line["kind"] in _END_KINDS and attempt_id in found:
             found[attempt_id] = found[attempt_id]._replace(ended_s=line["time"], end=line)
-            open_at[node].discard(attempt_id)
+            open_by_node[node].discard(attempt_id)
     return sorted(found.values(), key=lambda attempt: attempt.begun_s)
 
 
@@ -152,22 +152,25 @@
 
 
 def cause_of(attempt: Attempt) -> Cause | None:
-    """Return why an attempt failed; None if it did not, or ended as its program had to."""
+    """Return why an attempt failed; None if it did not.
+
+    Client errors other than 401 and 429 are not failures.
+    """
     is_repeatable = attempt.kind != "mutating"
     if attempt.ended_s is None:
         return None
     if not attempt.end:
         return Cause.DIED_REPEATABLE if is_repeatable else Cause.DIED_UNREPEATABLE
     kind, status = attempt.end["kind"], attempt.end.get("status", 0)
-    if kind in _CAUSES:
-        return _CAUSES[kind]
+    if kind in _CAUSES_BY_KIND:
+        return _CAUSES_BY_KIND[kind]
     if kind == "ConnectionEnded":
-        has_left = attempt.end.get("reason") in _LEFT
+        has_left = attempt.end.get("reason") in _CALLER_REASONS
         return Cause.CALLER_LEFT if has_left else Cause.CONNECTION_ENDED
     if kind == "AttemptAnswered":
         return None
-    if status in _REFUSALS:
-        return _REFUSALS[status]
+    if status in _CAUSES_BY_STATUS:
+        return _CAUSES_BY_STATUS[status]
     if status < HTTPStatus.INTERNAL_SERVER_ERROR:
         return None
     if status == HTTPStatus.SERVICE_UNAVAILABLE:
@@ -177,25 +180,25 @@
 
 def _cause_of_unavailable(reason: str) -> Cause:
     if reason.startswith(TOO_OLD):
-        return Cause.AGE
-    return Cause.ROOM if reason.startswith(NO_CAPACITY) else Cause.REFUSED
+        return Cause.STALE_CONFIGURATION
+    return Cause.CAPACITY if reason.startswith(NO_CAPACITY) else Cause.REFUSED
 
 
 def failed_programs(attempts: list[Attempt]) -> list[FailedProgram]:
-    """Return the programs of which nothing was heard after an attempt had failed.
+    """Return the programs that made no further attempt after one had failed.
 
-    A program that was idle when its gateway died and never came back looks like one that
-    was over, and is not among them.
+    A program that was idle when its gateway died and never continued cannot be distinguished from
+    one that had finished, so it is not included.
     """
-    # Attempts come in the order of their time, so each program's last one stays.
-    begun_last_s = {attempt.program_id: attempt.begun_s for attempt in attempts}
+    # Attempts are ordered by time, so the last one of each program remains.
+    last_begun_s = {attempt.program_id: attempt.begun_s for attempt in attempts}
     severity = list(Cause)
     failed: dict[str, FailedProgram] = {}
     for attempt in attempts:
         cause = cause_of(attempt)
         if cause is None or attempt.ended_s is None:
             continue
-        if begun_last_s[attempt.program_id] > attempt.ended_s:
+        if last_begun_s[attempt.program_id] > attempt.ended_s:
             continue
         known = failed.get(attempt.program_id)
         if known is None or severity.index(cause) < severity.index(known.cause):
@@ -204,10 +207,10 @@
 
 
 class LateProgram(NamedTuple):
-    """A program that ended after its time, and what it spent most of its time on.
+    """A program that ended after its deadline, and how its time was spent.
 
-    :param late_s: seconds beyond its time.
-    :param spent_s: seconds by what they were spent on, most first.
+    :param late_s: seconds between its deadline and its end.
+    :param spent_s: seconds by activity, most first.
     """
 
     program_id: str
@@ -218,9 +221,9 @@
 
 
 def late_programs(attempts: list[Attempt]) -> list[LateProgram]:
-    """Return the programs whose last attempt was answered after their time.
+    """Return the programs whose last attempt was answered after their deadline.
 
-    Sub-agents run side by side, so the times of one program may add up to more than it took.
+    Sub-agents run concurrently, so the times of one program may add up to more than its duration.
     """
     by_program: dict[str, list[Attempt]] = defaultdict(list)
     for attempt in attempts:
@@ -242,7 +245,7 @@
 
 
 def _spent_s(attempts: list[Attempt]) -> dict[str, float]:
-    """Return what a program's attempts spent their time on, most first."""
+    """Return the seconds that a program's attempts spent, by activity, most first."""
     spent_s: Counter[str] = Counter()
     for attempt in attempts:
         if attempt.ended_s is None:
@@ -259,57 +262,57 @@
     return dict(spent_s.most_common())
 
 
-class RoomHolders(NamedTuple):
-    """Who had the room that programs were refused for.
+class RefusedAdmissions(NamedTuple):
+    """Counts of programs that were refused for lack of capacity.
 
-    :param refused: new programs that were refused, by tenant.
-    :param holders: the same refusals, by the tenant with most programs admitted then.
-    :param scarce: the same, by what was lacking.
+    :param by_tenant: refusals by the tenant of the program.
+    :param by_holder: refusals by the tenant that had the most recently admitted programs then.
+    :param by_scarce: refusals by the scarce resource.
     """
 
-    refused: Counter[str]
-    holders: Counter[str]
-    scarce: Counter[str]
+    by_tenant: Counter[str]
+    by_holder: Counter[str]
+    by_scarce: Counter[str]
 
 
-def room_holders(lines: Iterable[dict[str, Any]]) -> RoomHolders:
-    """Return who was refused for want of room, and who had it."""
-    found = RoomHolders(Counter(), Counter(), Counter())
+def refused_admissions(lines: Iterable[dict[str, Any]]) -> RefusedAdmissions:
+    """Return the counts of programs that were refused for lack of capacity."""
+    found = RefusedAdmissions(Counter(), Counter(), Counter())
     for line in lines:
         if line["kind"] == "RoomDecided" and not line["admitted"]:
-            found.refused[line["tenant"]] += 1
-            found.holders[line["holder"] or "nobody yet"] += 1
-            found.scarce[line["scarce"]] += 1
+            found.by_tenant[line["tenant"]] += 1
+            found.by_holder[line["holder"] or "nobody yet"] += 1
+            found.by_scarce[line["scarce"]] += 1
     return found
 
 
-#: Tenants that are listed beside refusals for want of room.
-MOST_TENANTS_LISTED = 5
+#: Maximum number of names listed in each line about refusals for lack of capacity.
+MAX_TENANTS_LISTED = 5
 
 
-def _list_room(found: RoomHolders) -> None:
-    if not found.refused:
+def _print_refused_admissions(found: RefusedAdmissions) -> None:
+    if not found.by_tenant:
         return
-    click.echo(f"{found.refused.total():5d} new programs refused for want of room")
+    click.echo(f"{found.by_tenant.total():5d} new programs refused for want of room")
     for title, counts in zip(("of", "while most was held by", "lacking"), found, strict=True):
-        listed = counts.most_common(MOST_TENANTS_LISTED)
+        listed = counts.most_common(MAX_TENANTS_LISTED)
         click.echo(f"      {title} " + ", ".join(f"{name} {count}" for name, count in listed))
 
 
 @click.command()
-@click.option("--late", is_flag=True, help="List the programs that were late instead.")
+@click.option("--late", is_flag=True, help="List the late programs instead.")
 @click.argument("logs", nargs=-1, required=True, type=click.Path(exists=True, path_type=Path))
 @click.option("--output", type=click.Choice(["text", "json"]), default="text")
 def failures(logs: tuple[Path, ...], output: str, late: bool) -> None:
-    """List the programs that failed, by what ended them, or those that were late.
+    """List the programs that failed and their causes, or those that were late.
 
-    LOGS are files of decision lines, of all gateways, plain or gzipped. For each cause it
-    is said whether a policy might have saved the program.
+    LOGS are files of decision lines of all gateways, plain or gzipped. For each cause the
+    output states whether a different policy might have saved the programs.
     """
     lines = [line for path in logs for line in read_lines(path)]
     attempts = read_attempts(lines)
     if late:
-        _list_late(late_programs(attempts), output)
+        _print_late(late_programs(attempts), output)
         return
     failed = failed_programs(attempts)
     if output == "json":
@@ -325,21 +328,23 @@
             f" {attempt.kind} {attempt.attempt_id}: {one.cause} {attempt.end.get('reason', '')}"
         )
     for cause, count in Counter(one.cause for one in failed).most_common():
-        saved = "might be saved" if cause.could_be_saved else "could not be saved"
+        saved = "might be saved" if cause.is_avoidable else "could not be saved"
         click.echo(f"{count:5d} {cause} ({saved})")
-    _list_room(room_holders(lines))
+    _print_refused_admissions(refused_admissions(lines))
 
 
-def _list_late(programs: list[LateProgram], output: str) -> None:
+def _print_late(programs: list[LateProgram], output: str) -> None:
     if output == "json":
         for one in programs:
             click.echo(json.dumps(one._asdict()))
         return
     for one in programs:
-        spent = ", ".join(f"{what} {seconds:.2f} s" for what, seconds in one.spent_s.items())
+        spent = ", ".join(
+            f"{activity} {seconds:.2f} s" for activity, seconds in one.spent_s.items()
+        )
         click.echo(
             f"{one.begun_s:.3f} {one.program_id} {one.tenant} {one.late_s:.2f} s late: {spent}"
         )
     most = Counter(next(iter(one.spent_s), "") for one in programs)
-    for what, count in most.most_common():
-        click.echo(f"{count:5d} spent most on {what}")
+    for activity, count in most.most_common():
+        click.echo(f"{count:5d} spent most on {activity}")
--- a/yarrowwall/cli/main.py
+++ b/yarrowwall/cli/main.py
@@ -1,6 +1,6 @@
 """The ``yarrowwall`` command."""
 
-# The runtime patches the standard library for eventlet; nothing may be imported before it.
+# The runtime patches the standard library for eventlet, so it must be imported first.
 import yarrowwall.standalone.runtime  # noqa: F401  isort: skip
 
 import click
--- a/yarrowwall/cli/node.py
+++ b/yarrowwall/cli/node.py
@@ -22,7 +22,7 @@
 
 
 def _load_or_exit(path: Path, load: Callable[[Path], _Settings]) -> _Settings:
-    """Return the settings of a file; print its faults and exit if it has any."""
+    """Return the settings in a file; if it has faults, print them and exit."""
     try:
         return load(path)
     except SettingsError as error:
@@ -34,7 +34,7 @@
 @click.command()
 @click.option("--settings", "path", type=_PATH, required=True, help="TOML settings file.")
 def node(path: Path) -> None:
-    """Run a node until SIGTERM; it then finishes what runs and exits."""
+    """Run a node until SIGTERM; it then finishes the requests in progress and exits."""
     settings = _load_or_exit(path, _load_node_settings)
     logs.set_up(settings.node_id, settings.zone, settings.log_level)
     from yarrowwall.standalone.runtime.service import run_node
@@ -46,10 +46,10 @@
 
 
 @click.command("check-settings")
-@click.option("--machine", is_flag=True, help="The settings of a machine on a platform.")
+@click.option("--machine", is_flag=True, help="Check the settings of a machine on a platform.")
 @click.argument("path", type=_PATH)
 def check_settings(machine: bool, path: Path) -> None:
-    """Check a settings file; one line a fault, exit code 2 if there is one."""
+    """Check a settings file; print one line per fault and exit with code 2 if there are any."""
     if machine:
         _load_or_exit(path, load_machine_settings)
     else:
@@ -59,9 +59,9 @@
 
 @click.command("journal-init")
 @click.option("--folder", type=click.Path(path_type=Path), required=True, help="Data folder.")
-@click.option("--replica-id", required=True, help="Id that the shard map names.")
+@click.option("--replica-id", required=True, help="Id of the replica in the shard map.")
 def journal_init(folder: Path, replica_id: str) -> None:
-    """Give a fresh data folder its replica id, once, before the first start."""
+    """Write the replica id to a new data folder, once, before the first start."""
     from yarrowwall.storage import identity
 
     try:
--- a/yarrowwall/cli/operator.py
+++ b/yarrowwall/cli/operator.py
@@ -1,4 +1,4 @@
-"""Commands for operators, against any node."""
+"""Commands for operators, which send requests to any node."""
 
 import json
 import tomllib
@@ -14,14 +14,17 @@
 
 
 def _common_options(command: Callable) -> Callable:
-    """Add the options that every operator command has."""
+    """Add the options that all operator commands share."""
     command = click.option("--node", required=True, help="Any node, http://IP:PORT.")(command)
     output = click.option("--output", type=click.Choice(["table", "json"]), default="table")
     return output(command)
 
 
 def _request(node: str, method: str, path: str, body: dict | None = None) -> dict:
-    """Return the JSON answer of a node; exits with its error otherwise."""
+    """Send a request to a node and return its JSON answer.
+
+    :raises click.ClickException: if the node returns an error or does not answer.
+    """
     pool = urllib3.PoolManager(retries=False, timeout=_TIMEOUT_SECONDS)
     try:
         response = pool.request(method, node.rstrip("/") + path, json=body)
@@ -66,7 +69,7 @@
 
 @click.group()
 def intent() -> None:
-    """Declare what should hold."""
+    """Declare intents: the desired state of the configuration."""
 
 
 @intent.command("apply")
@@ -79,7 +82,7 @@
 
 @click.group()
 def plan() -> None:
-    """Look at plans and decide on them."""
+    """Show plans, and confirm, reject or amend them."""
 
 
 @plan.command("show")
@@ -94,7 +97,7 @@
 @click.argument("plan_id")
 @_common_options
 def plan_confirm(plan_id: str, node: str, output: str) -> None:
-    """Bring a plan into force; refused if the configuration has changed since."""
+    """Put a plan into force; this fails if the configuration has changed since."""
     _print_plan(_request(node, "POST", f"/v1/operator/plans/{plan_id}/confirm"), output)
 
 
@@ -102,7 +105,7 @@
 @click.argument("plan_id")
 @_common_options
 def plan_reject(plan_id: str, node: str, output: str) -> None:
-    """Drop a plan."""
+    """Reject a plan."""
     _print_plan(_request(node, "POST", f"/v1/operator/plans/{plan_id}/reject"), output)
 
 
@@ -111,7 +114,7 @@
 @click.argument("path", type=click.Path(dir_okay=False, path_type=Path))
 @_common_options
 def plan_amend(plan_id: str, path: Path, node: str, output: str) -> None:
-    """Drop a plan and compute another from the intents in a TOML file."""
+    """Replace a plan by one computed from the intents in a TOML file."""
     body = _load_intents(path)
     _print_plan(_request(node, "POST", f"/v1/operator/plans/{plan_id}/amend", body), output)
 
@@ -130,7 +133,7 @@
 def replica_replace(
     old_replica_id: str, new_replica_id: str, node_id: str, zone: str, node: str, output: str
 ) -> None:
-    """Put a new, empty replica in the place of one whose disk is gone."""
+    """Replace a replica whose disk was lost by a new, empty one."""
     body = {"replica_id": new_replica_id, "node_id": node_id, "zone": zone}
     path = f"/v1/operator/replicas/{old_replica_id}/replace"
     document = _request(node, "POST", path, body)
@@ -140,7 +143,7 @@
 @click.command()
 @_common_options
 def status(node: str, output: str) -> None:
-    """Show what a node knows: members, engines, configuration in force."""
+    """Show the members, engines and configuration in force that a node knows."""
     document = _request(node, "GET", "/v1/operator/status")
     if output == "json":
         click.echo(json.dumps(document, indent=2))
--- a/yarrowwall/cli/simulate.py
+++ b/yarrowwall/cli/simulate.py
@@ -1,4 +1,4 @@
-"""Commands that run the simulation."""
+"""Command that runs the simulation."""
 
 import sys
 
@@ -10,14 +10,14 @@
 from yarrowwall.standalone.simulation.report import RunReport, make_report
 from yarrowwall.standalone.simulation.world import RunSettings, World
 
-#: Share of callers that go away, loop or hang in a run with faults.
+#: Share of callers that disconnect, loop or hang in a run with faults.
 ODD_SHARE = 0.15
 
 
 def parse_faults(text: str) -> tuple[FaultKind, ...]:
-    """Return the kinds of ``all``, ``none`` or a list with commas.
+    """Return the fault kinds given by ``all``, ``none`` or a comma-separated list.
 
-    :raises click.BadParameter: if a kind is not known.
+    :raises click.BadParameter: if a kind is unknown.
     """
     if text == "all":
         return tuple(FaultKind)
@@ -34,7 +34,12 @@
 @click.option("--deployment", type=click.Choice(sorted(DEPLOYMENTS)), required=True)
 @click.option("--seed", type=int, required=True)
 @click.option("--programs", type=click.IntRange(1), default=60, show_default=True)
-@click.option("--faults", default="none", show_default=True, help="all, none, or kinds.")
+@click.option(
+    "--faults",
+    default="none",
+    show_default=True,
+    help="all, none, or a comma-separated list of kinds.",
+)
 @click.option(
     "--load", type=click.FloatRange(0.01, 5.0), default=0.6, show_default=True,
     help="Fraction of the engines' capacity.",
@@ -44,7 +49,7 @@
 def simulate(
     deployment: str, seed: int, programs: int, faults: str, load: float, policy: str, output: str
 ) -> None:
-    """Run a deployment on a virtual clock; exit code 1 if a promise was broken."""
+    """Simulate a deployment on a virtual clock; exit with code 1 if a guarantee was violated."""
     kinds = parse_faults(faults)
     settings = RunSettings(
         DEPLOYMENTS[deployment],
@@ -61,7 +66,7 @@
 
 
 def run_once(settings: RunSettings) -> RunReport:
-    """Run one simulation to its end."""
+    """Run one simulation and return its report."""
     world = World(settings)
     world.run()
     return make_report(world)
--- a/yarrowwall/cli/stale.py
+++ b/yarrowwall/cli/stale.py
@@ -1,4 +1,4 @@
-"""Requests that were handled by a configuration which others had superseded, from logs."""
+"""Command that lists the requests handled by a superseded configuration, from logs."""
 
 import json
 from collections.abc import Iterable
@@ -9,7 +9,7 @@
 
 from yarrowwall.cli.explain import read_lines
 
-#: Seconds for which a configuration may be superseded: the shortest bound of a deployment.
+#: Seconds for which a superseded configuration may be used: the shortest bound of a deployment.
 BOUND_SECONDS = 2.0
 _READER = "reader/"
 _PROOF = "proof/"
@@ -17,13 +17,14 @@
 
 
 class StaleAttempt(NamedTuple):
-    """An attempt that was admitted by a configuration which had been superseded.
-
-    :param newer: the version that superseded it, first in force at ``first_node``.
-    :param superseded_s: for how long, by the logs' clocks.
-    :param age_s: since the version was proved to be the newest, by its gateway's own clock.
-    :param reader: whom the gateway relied on; "none" if it relied on nobody.
-    :param left: which reader or store it had given up last, when and why.
+    """An attempt that was admitted by a superseded configuration.
+
+    :param newer: the version that superseded it, which ``first_node`` put into force first.
+    :param superseded_s: seconds since then, by the logs' clocks.
+    :param age_s: seconds since the used version was verified to be the newest, by the gateway's
+        clock.
+    :param reader: the store reader that the gateway used last; "none" without one.
+    :param left: the reader, store or verification that became unavailable last, when and why.
     """
 
     attempt_id: str
@@ -37,21 +38,25 @@
     left: str
 
 
-class _Gateway:
-    """What a gateway knew of the store, as far as its log was read."""
+class _GatewayState:
+    """A gateway's connection to the store, as described by its log lines so far.
+
+    :ivar readers: readers that the gateway uses; the newest is the last.
+    :ivar last_failure: the reader, store or verification that became unavailable last.
+    """
 
     def __init__(self) -> None:
         self.readers: list[str] = []
-        self.left = "nothing"
+        self.last_failure = "nothing"
 
-    def take(self, line: dict[str, Any]) -> None:
-        """Take in a line."""
+    def apply(self, line: dict[str, Any]) -> None:
+        """Update the state by a line."""
         if line["kind"] == "ProcessChanged" and line["change"] == "started":
             self.readers.clear()
         elif line["kind"] == "DependencyChanged":
-            self._take_dependency(line)
+            self._apply_dependency(line)
 
-    def _take_dependency(self, line: dict[str, Any]) -> None:
+    def _apply_dependency(self, line: dict[str, Any]) -> None:
         dependency = line["dependency"]
         name = dependency.removeprefix(_READER)
         is_reader = dependency.startswith(_READER)
@@ -60,11 +65,11 @@
         if is_reader and line["is_up"]:
             self.readers.append(name)
         if not line["is_up"] and dependency.startswith((_READER, _PROOF, _STORE)):
-            self.left = f"{dependency} at {line['time']:.3f}: {line['reason']}"
+            self.last_failure = f"{dependency} at {line['time']:.3f}: {line['reason']}"
 
 
-class _FirstSight(NamedTuple):
-    """Where and when a version was in force first."""
+class _Activation(NamedTuple):
+    """The node at which a version came into force first, and when."""
 
     version: int
     node: str
@@ -72,39 +77,42 @@
 
 
 def stale_attempts(lines: Iterable[dict[str, Any]], bound_s: float) -> list[StaleAttempt]:
-    """Return the attempts admitted by a version that was superseded for longer.
+    """Return the attempts admitted by a version that had been superseded for too long.
 
-    :param lines: those of all gateways; each gateway's in the order in which it wrote them.
+    :param lines: log lines of all gateways; those of each gateway must be in their original order.
+    :param bound_s: seconds for which a superseded version may be used.
     """
     ordered = sorted(lines, key=lambda line: line["time"])
-    sights = _first_sights(ordered)
-    gateways: dict[str, _Gateway] = {}
+    activations = _first_activations(ordered)
+    gateways: dict[str, _GatewayState] = {}
     found: list[StaleAttempt] = []
     for line in ordered:
-        gateway = gateways.setdefault(line["node"], _Gateway())
-        gateway.take(line)
+        gateway = gateways.setdefault(line["node"], _GatewayState())
+        gateway.apply(line)
         if line["kind"] == "AttemptAdmitted":
-            newer = _superseding(sights, line["configuration"])
+            newer = _first_newer(activations, line["configuration"])
             if newer is not None and line["time"] - newer.at_s > bound_s:
-                found.append(_stale(line, newer, gateway))
+                found.append(_stale_attempt(line, newer, gateway))
     return found
 
 
-def _first_sights(lines: Iterable[dict[str, Any]]) -> list[_FirstSight]:
-    sights: dict[int, _FirstSight] = {}
+def _first_activations(lines: Iterable[dict[str, Any]]) -> list[_Activation]:
+    activations: dict[int, _Activation] = {}
     for line in lines:
         if line["kind"] == "ConfigurationInForce":
             version = line["version"]
-            sights.setdefault(version, _FirstSight(version, line["node"], line["time"]))
-    return [sights[version] for version in sorted(sights)]
+            activations.setdefault(version, _Activation(version, line["node"], line["time"]))
+    return [activations[version] for version in sorted(activations)]
 
 
-def _superseding(sights: list[_FirstSight], version: int) -> _FirstSight | None:
-    newer = [sight for sight in sights if sight.version > version]
-    return min(newer, key=lambda sight: sight.at_s, default=None)
+def _first_newer(activations: list[_Activation], version: int) -> _Activation | None:
+    newer = [activation for activation in activations if activation.version > version]
+    return min(newer, key=lambda activation: activation.at_s, default=None)
 
 
-def _stale(line: dict[str, Any], newer: _FirstSight, gateway: _Gateway) -> StaleAttempt:
+def _stale_attempt(
+    line: dict[str, Any], newer: _Activation, gateway: _GatewayState
+) -> StaleAttempt:
     return StaleAttempt(
         line["attempt"],
         line["node"],
@@ -114,19 +122,20 @@
         line["time"] - newer.at_s,
         line.get("configuration_age", float("nan")),
         gateway.readers[-1] if gateway.readers else "none",
-        gateway.left,
+        gateway.last_failure,
     )
 
 
 @click.command()
 @click.argument("logs", nargs=-1, required=True, type=click.Path(exists=True, path_type=Path))
-@click.option("--bound", type=float, default=BOUND_SECONDS, help="Seconds that are allowed.")
+@click.option("--bound", type=float, default=BOUND_SECONDS, help="Allowed seconds.")
 @click.option("--output", type=click.Choice(["text", "json"]), default="text")
 def stale(logs: tuple[Path, ...], bound: float, output: str) -> None:
     """List the requests that were handled by a superseded configuration.
 
-    LOGS are files of decision lines, of all gateways, plain or gzipped. For each request it is
-    said how old the gateway's proof was, whom it relied on and what it had given up last.
+    LOGS are files of decision lines of all gateways, plain or gzipped. For each request the
+    output states how long ago the gateway had verified its configuration, the reader that it
+    used and the reader or store that it had given up last.
     """
     lines = [line for path in logs for line in read_lines(path)]
     for one in stale_attempts(lines, bound):
--- a/yarrowwall/cli/standin.py
+++ b/yarrowwall/cli/standin.py
@@ -1,4 +1,4 @@
-"""Commands that run the stand-ins of the outside systems."""
+"""Commands that run stand-ins of external systems."""
 
 import json
 import socket
@@ -11,13 +11,13 @@
     from yarrowwall.standalone.standins.web import StandInServer
 
 _listen_option = click.option(
-    "--listen", required=True, help="Address to listen on, 127.0.0.1:PORT; port 0 picks one."
+    "--listen", required=True, help="Address to listen on, 127.0.0.1:PORT; port 0 picks a free one."
 )
 
 
 @click.group()
 def standin() -> None:
-    """Run a stand-in of an outside system."""
+    """Run a stand-in of an external system."""
 
 
 def _listener(address: str) -> socket.socket:
@@ -33,9 +33,9 @@
 
 @standin.command()
 @_listen_option
-@click.option("--objects", type=click.Path(path_type=Path), help="JSON file: objects by name.")
+@click.option("--objects", type=click.Path(path_type=Path), help="JSON file of objects by name.")
 def platform(listen: str, objects: Path | None) -> None:
-    """The platform's object service."""
+    """Run a stand-in of the platform's object service."""
     listener = _listener(listen)
     from yarrowwall.standalone.standins.platform import PlatformStandIn
 
@@ -49,13 +49,13 @@
 @standin.command()
 @_listen_option
 @click.option("--model", "models", multiple=True, default=("assistant",), help="Model served.")
-@click.option("--speed", default=1.0, help="Factor on the model's own speed.")
-@click.option("--max-batch", default=16, help="Sequences in one batch.")
-@click.option("--cache-tokens", default=200_000, help="Prefix cache in tokens.")
+@click.option("--speed", default=1.0, help="Multiple of the model's default speed.")
+@click.option("--max-batch", default=16, help="Maximum sequences in one batch.")
+@click.option("--cache-tokens", default=200_000, help="Size of the prefix cache in tokens.")
 def engine(
     listen: str, models: tuple[str, ...], speed: float, max_batch: int, cache_tokens: int
 ) -> None:
-    """A model engine."""
+    """Run a stand-in of a model engine."""
     listener = _listener(listen)
     from yarrowwall.standalone.models.engine import EngineParameters
     from yarrowwall.standalone.standins.engine import EngineStandIn
@@ -66,9 +66,9 @@
 
 @standin.command()
 @_listen_option
-@click.option("--seconds", default=0.005, help="Time one lookup takes.")
+@click.option("--seconds", default=0.005, help="Duration of a lookup.")
 def records(listen: str, seconds: float) -> None:
-    """A record server."""
+    """Run a stand-in of a record server."""
     listener = _listener(listen)
     from yarrowwall.standalone.standins.records import RecordsStandIn
 
@@ -77,9 +77,9 @@
 
 @standin.command()
 @_listen_option
-@click.option("--seconds", default=0.05, help="Time one use takes.")
+@click.option("--seconds", default=0.05, help="Duration of a use.")
 def tool(listen: str, seconds: float) -> None:
-    """A tool service."""
+    """Run a stand-in of a tool service."""
     listener = _listener(listen)
     from yarrowwall.standalone.standins.records import ToolStandIn
 
