--- a/yarrowwall/addresses.py
+++ b/yarrowwall/addresses.py
@@ -12,9 +12,9 @@
 
 
 def check_address(value: str) -> str:
-    """Return an address after checking that it has the form ``IP:port``.
+    """Return the address if it has the form ``IP:port``.
 
-    :raises ValueError: if it does not have this form.
+    :raises ValueError: if it does not.
     """
     host, _, port = value.rpartition(":")
     try:
--- a/yarrowwall/cli/failures.py
+++ b/yarrowwall/cli/failures.py
@@ -46,7 +46,7 @@
     CAPACITY = "refused for want of room"
     #: The gateway refused the request, which did not run.
     REFUSED = "refused as not run"
-    #: No server answered a request that may be repeated before its timeout.
+    #: A request that may be repeated got no usable answer before its timeout.
     TIMED_OUT = "no answer in time, request may be repeated"
     #: The gateway cut off an answer that could not be completed.
     BROKEN_OFF = "answer broken off"
--- a/yarrowwall/hashing.py
+++ b/yarrowwall/hashing.py
@@ -5,7 +5,7 @@
 
 import xxhash
 
-#: Steps of a fraction derived from a number; of one second, each is about a millisecond.
+#: Steps of a fraction derived from a digest. As a fraction of a second, a step is about 1 ms.
 _FRACTION_STEPS = 1024
 
 
--- a/yarrowwall/listening.py
+++ b/yarrowwall/listening.py
@@ -10,7 +10,8 @@
 from yarrowwall import decisions
 from yarrowwall.decisions import DecisionLog
 
-#: Pause in seconds after a failure; a process that is out of descriptors fails without waiting.
+#: Seconds before a failed accept is retried. Without this pause, a process that is out of
+#: descriptors would retry in a busy loop.
 RETRY_SECONDS = 0.05
 #: Errors that show that the listening socket is closed.
 _CLOSED = {errno.EBADF, errno.EINVAL, errno.ENOTSOCK}
--- a/yarrowwall/metrics.py
+++ b/yarrowwall/metrics.py
@@ -38,25 +38,27 @@
 CACHED_TOKENS = _Description(
     "cached_prompt_tokens", "Prompt tokens believed to be in the chosen server's memory"
 )
-BROKEN = _Description("answers_broken_off", "Answers cut midway")
-LEFT = _Description("callers_left", "Callers that closed their connection")
+BROKEN_ANSWERS = _Description("answers_broken_off", "Answers cut midway")
+CALLERS_LEFT = _Description("callers_left", "Callers that closed their connection")
 BUDGETS = _Description("budget_decisions", "Reservations of tokens", "granted")
-PARTS = _Description(
+BUDGET_PARTS = _Description(
     "budget_parts", "Turns whose tokens were asked beside the common group", "verdict"
 )
 ZONE_TURNS = _Description("zone_turns", "Turns served by the own zone's part of a budget alone")
 ZONE_TOKENS = _Description("zone_tokens", "Tokens reserved of zones' parts of budgets")
-ZONE_KEPT = _Description("zone_turns_kept", "Turns kept in the own zone's group")
-KEPT_LATE = _Description("turns_kept_late", "Answers whose end waited until a turn was stored")
-COPIED = _Description("zone_turns_copied", "Turns copied from zones' groups to common ones")
-REACH = _Description("group_reached", "Whether a group of replicas answers", "group")
+TURNS_KEPT_IN_ZONE = _Description("zone_turns_kept", "Turns kept in the own zone's group")
+TURNS_KEPT_LATE = _Description(
+    "turns_kept_late", "Answers whose end waited until a turn was stored"
+)
+TURNS_COPIED = _Description("zone_turns_copied", "Turns copied from zones' groups to common ones")
+GROUP_REACHED = _Description("group_reached", "Whether a group of replicas answers", "group")
 MESSAGES_DROPPED = _Description(
     "messages_dropped", "Messages of other machines that were not understood"
 )
 CONNECTIONS_CLOSED = _Description(
     "peer_connections_closed", "Connections closed for what is no message"
 )
-CHAINS = _Description("chain_lookups", "Lookups of earlier turns", "outcome")
+CHAIN_LOOKUPS = _Description("chain_lookups", "Lookups of earlier turns", "outcome")
 SYNCHRONISATIONS = _Description("synchronisations", "Copies of a group that a replica finished")
 DEPENDENCY = _Description("dependency_up", "Whether a dependency answers", "dependency")
 QUOTA_REFUSALS = _Description(
@@ -78,32 +80,42 @@
 ISSUED_PERMITS = _Description(
     "quota_lent", "Requests that count against this replica's part", "tenant"
 )
-AGE = _Description("configuration_age_seconds", "Time since the newest proof of the configuration")
-GIVEN_UP = _Description("callers_given_up", "Callers that read or sent nothing for too long")
+CONFIGURATION_AGE = _Description(
+    "configuration_age_seconds", "Time since the newest proof of the configuration"
+)
+CALLERS_GIVEN_UP = _Description(
+    "callers_given_up", "Callers that read or sent nothing for too long"
+)
 CONNECTIONS_ENDED = _Description(
     "connections_ended", "Callers' connections that ended before their answers", "reason"
 )
-HELD = _Description("held_bytes", "Bytes held for callers and servers", "of")
+HELD_BYTES = _Description("held_bytes", "Bytes held for callers and servers", "of")
 ENTRIES_REFUSED = _Description(
     "server_entries_refused", "Entries of servers that name none to use", "fault"
 )
-KEYS = _Description("key_changes", "Keys given to tenants or taken away", "change")
-VERSION = _Description("configuration_version", "Version in force")
-EPOCH = _Description("group_epoch", "Newest view of a group", "group")
-MEMBERS = _Description("group_members", "Replicas of a group's newest view", "group")
-LOST = _Description("group_lost", "1 if a group has lost all copies of its records", "group")
+KEY_CHANGES = _Description("key_changes", "Keys given to tenants or taken away", "change")
+CONFIGURATION_VERSION = _Description("configuration_version", "Version in force")
+GROUP_EPOCH = _Description("group_epoch", "Newest view of a group", "group")
+GROUP_MEMBERS = _Description("group_members", "Replicas of a group's newest view", "group")
+GROUP_LOST = _Description("group_lost", "1 if a group has lost all copies of its records", "group")
 ZONE_RECORDS = _Description(
     "zone_group_records", "Records that this machine holds for its zone's own group"
 )
-DROPPED = _Description("log_lines_dropped", "Log lines not written")
-RELAYED = _Description("relayed_requests", "Requests sent through a neighbour", "neighbour")
-FORWARDED = _Description("forwarded_requests", "Requests passed on for a gateway", "gateway")
+DROPPED_LINES = _Description("log_lines_dropped", "Log lines not written")
+RELAYED_REQUESTS = _Description(
+    "relayed_requests", "Requests sent through a neighbour", "neighbour"
+)
+FORWARDED_REQUESTS = _Description(
+    "forwarded_requests", "Requests passed on for a gateway", "gateway"
+)
 RELAY_REFUSALS = _Description("relay_refusals", "Refusals of neighbours", "status")
 FORWARD_REFUSALS = _Description("forward_refusals", "Requests not passed on", "status")
 RELAYED_READS = _Description(
     "reader_questions_relayed", "Questions to readers of the store through neighbours", "outcome"
 )
-SECONDS = _Description("attempt_seconds", "Time from an attempt's arrival to the end of its answer")
+ATTEMPT_SECONDS = _Description(
+    "attempt_seconds", "Time from an attempt's arrival to the end of its answer"
+)
 
 
 class _Key(NamedTuple):
@@ -126,33 +138,35 @@
             decisions.AttemptRefused: lambda event: self._add(REFUSALS, event.status),
             decisions.AttemptSent: self._sent,
             decisions.SendFailed: lambda event: self._add(FAILED_SENDS, event.may_have_run),
-            decisions.AnswerBrokenOff: lambda event: self._add(BROKEN),
-            decisions.CallerLeft: lambda event: self._add(LEFT),
-            decisions.CallerGivenUp: lambda event: self._add(GIVEN_UP),
+            decisions.AnswerBrokenOff: lambda event: self._add(BROKEN_ANSWERS),
+            decisions.CallerLeft: lambda event: self._add(CALLERS_LEFT),
+            decisions.CallerGivenUp: lambda event: self._add(CALLERS_GIVEN_UP),
             decisions.ConnectionEnded: lambda event: self._add(CONNECTIONS_ENDED, event.reason),
             decisions.BudgetDecided: lambda event: self._add(BUDGETS, event.granted),
             decisions.PartsAsked: self._parts_asked,
-            decisions.TurnKeptInZone: lambda event: self._add(ZONE_KEPT),
-            decisions.TurnKeptLate: lambda event: self._add(KEPT_LATE),
-            decisions.TurnCopied: lambda event: self._add(COPIED),
+            decisions.TurnKeptInZone: lambda event: self._add(TURNS_KEPT_IN_ZONE),
+            decisions.TurnKeptLate: lambda event: self._add(TURNS_KEPT_LATE),
+            decisions.TurnCopied: lambda event: self._add(TURNS_COPIED),
             decisions.GroupReachChanged: lambda event: self._set(
-                REACH, event.is_reached, event.group
+                GROUP_REACHED, event.is_reached, event.group
             ),
-            decisions.ChainLookedUp: lambda event: self._add(CHAINS, event.outcome),
+            decisions.ChainLookedUp: lambda event: self._add(CHAIN_LOOKUPS, event.outcome),
             decisions.MessageDropped: lambda event: self._add(MESSAGES_DROPPED),
             decisions.PeerConnectionClosed: lambda event: self._add(CONNECTIONS_CLOSED),
             decisions.ReplicaSynchronised: lambda event: self._add(SYNCHRONISATIONS),
             decisions.DependencyChanged: lambda event: self._set(
                 DEPENDENCY, event.is_up, event.dependency
             ),
-            decisions.ConfigurationInForce: lambda event: self._set(VERSION, event.version),
+            decisions.ConfigurationInForce: lambda event: self._set(
+                CONFIGURATION_VERSION, event.version
+            ),
             decisions.QuotaRefused: lambda event: self._add(QUOTA_REFUSALS, event.begins),
             decisions.RoomDecided: self._admission_decided,
             decisions.LendingChanged: lambda event: self._set(ISSUING, event.lends),
             decisions.EntryRefused: lambda event: self._add(ENTRIES_REFUSED, event.fault),
             decisions.KeysChanged: self._keys_changed,
             decisions.GroupChanged: self._group_changed,
-            decisions.GroupLost: lambda event: self._set(LOST, 1, event.group),
+            decisions.GroupLost: lambda event: self._set(GROUP_LOST, 1, event.group),
         }
 
     def count(self, decision: Decision) -> None:
@@ -173,15 +187,15 @@
         self._latency_sum_s += event.seconds
 
     def _parts_asked(self, event: decisions.PartsAsked) -> None:
-        self._add(PARTS, event.verdict)
+        self._add(BUDGET_PARTS, event.verdict)
         if event.verdict not in ("granted", "short"):
             return
         self._add(ZONE_TOKENS, amount=event.zone_tokens)
         self._add(ZONE_TURNS, amount=int(event.is_alone))
 
     def _keys_changed(self, event: decisions.KeysChanged) -> None:
-        self._add(KEYS, "added", len(event.added))
-        self._add(KEYS, "removed", len(event.removed))
+        self._add(KEY_CHANGES, "added", len(event.added))
+        self._add(KEY_CHANGES, "removed", len(event.removed))
 
     def _admission_decided(self, event: decisions.RoomDecided) -> None:
         self._add(ADMISSIONS, event.scarce)
@@ -191,8 +205,8 @@
         self._set(WAITING_PROGRAMS, event.waiting, event.service)
 
     def _group_changed(self, event: decisions.GroupChanged) -> None:
-        self._set(EPOCH, event.epoch, event.group)
-        self._set(MEMBERS, len(event.members.split(",")) if event.members else 0, event.group)
+        self._set(GROUP_EPOCH, event.epoch, event.group)
+        self._set(GROUP_MEMBERS, len(event.members.split(",")) if event.members else 0, event.group)
 
     def set_zone_records(self, count: int) -> None:
         """Set the number of records stored for the zone's own group."""
@@ -200,17 +214,17 @@
 
     def set_age(self, age_s: float) -> None:
         """Set the seconds since the configuration was last proved to be the newest."""
-        self._set(AGE, age_s)
+        self._set(CONFIGURATION_AGE, age_s)
 
     def set_relayed(self, relayed: Mapping[str, int], forwarded: Mapping[str, int]) -> None:
         """Set the counts of requests sent through neighbours and forwarded for gateways."""
-        self._set_counts(RELAYED, relayed)
-        self._set_counts(FORWARDED, forwarded)
+        self._set_counts(RELAYED_REQUESTS, relayed)
+        self._set_counts(FORWARDED_REQUESTS, forwarded)
 
-    def set_relay_refusals(self, met: Mapping[str, int], given: Mapping[str, int]) -> None:
-        """Set the counts of refusals by neighbours, and of refusals to forward for others."""
-        self._set_counts(RELAY_REFUSALS, met)
-        self._set_counts(FORWARD_REFUSALS, given)
+    def set_relay_refusals(self, received: Mapping[str, int], sent: Mapping[str, int]) -> None:
+        """Set the counts of refusals received from neighbours, and of those sent to gateways."""
+        self._set_counts(RELAY_REFUSALS, received)
+        self._set_counts(FORWARD_REFUSALS, sent)
 
     def set_relayed_reads(self, outcomes: Mapping[str, int]) -> None:
         """Set the counts of relayed reads by outcome."""
@@ -221,9 +235,9 @@
             self._counts[_Key(metric, label)] = count
 
     def set_held(self, held: Mapping[str, int]) -> None:
-        """Set the numbers of buffered bytes by kind."""
-        for of, count in held.items():
-            self._set(HELD, count, of)
+        """Set the numbers of buffered bytes, by what they are buffered for."""
+        for kind, count in held.items():
+            self._set(HELD_BYTES, count, kind)
 
     def set_issued_permits(self, issued: Mapping[str, int]) -> None:
         """Set the requests that count against this replica's share, by tenant."""
@@ -243,7 +257,7 @@
         """
         from prometheus_client import CollectorRegistry, generate_latest
 
-        self._set(DROPPED, dropped)
+        self._set(DROPPED_LINES, dropped)
         registry = CollectorRegistry()
         registry.register(self)  # type: ignore[arg-type]  # a collector only needs `collect`
         return generate_latest(registry)
@@ -258,7 +272,7 @@
 
         yield from _families(self._counts, CounterMetricFamily)
         yield from _families(self._gauges, GaugeMetricFamily)
-        latencies = HistogramMetricFamily(_PREFIX + SECONDS.name, SECONDS.text)
+        latencies = HistogramMetricFamily(_PREFIX + ATTEMPT_SECONDS.name, ATTEMPT_SECONDS.text)
         latencies.add_metric([], self._cumulative(), sum_value=self._latency_sum_s)
         yield latencies
 
--- a/yarrowwall/ports/loads.py
+++ b/yarrowwall/ports/loads.py
@@ -8,7 +8,7 @@
 
     @abstractmethod
     def wait(self) -> None:
-        """Wait for the answer for a short time."""
+        """Wait for the answer until a short timeout expires."""
 
 
 class LoadSource(ABC):
@@ -24,7 +24,7 @@
 
 
 class NoPendingLoads(PendingLoads):
-    """The result of a request that no replica could be sent."""
+    """The result of a request that could not be sent to any replica."""
 
     def wait(self) -> None:
         """Return at once."""
--- a/yarrowwall/quorum.py
+++ b/yarrowwall/quorum.py
@@ -1,13 +1,13 @@
 """Quorum arithmetic.
 
-A replica group is the set of replica ids that must form a majority. While a
-shard map changes, a decision needs a majority of the old and of the new group
-(joint majorities), so any two decisions share a replica.
+A decision needs a majority of a replica group. While a shard map changes, it needs
+majorities of both the old and the new group (joint majorities), so any two decisions
+share a replica.
 """
 
 from collections.abc import Collection, Sequence
 
-#: Replicas of each program, one per zone if there are enough zones.
+#: Number of replicas of each program, in different zones if there are enough zones.
 REPLICAS_PER_SHARD = 3
 
 
