--- a/yarrowwall/decisions.py
+++ b/yarrowwall/decisions.py
@@ -35,7 +35,7 @@
 class AttemptAdmitted(Decision, frozen=True):
     """A caller's attempt was read and matched to a route.
 
-    :param configuration_age: seconds since the configuration was last proved to be the newest.
+    :param configuration_age: seconds since the configuration was last verified to be the newest.
     :param finish_in: seconds until its program's deadline; None if not given.
     :param previous: the turn that it continues from; empty for none.
     """
--- a/yarrowwall/messages/quotas.py
+++ b/yarrowwall/messages/quotas.py
@@ -37,8 +37,8 @@
 
     :param count: number of requests to be sent; fewer may be granted, but at least one.
     :param program_size: if a program begins, the number of requests that it is expected to make,
-        else 0. It is admitted only if it and the recently admitted programs together fit the
-        agreed limit.
+        else 0. It is admitted only if it fits the agreed limit together with the recently admitted
+        programs, or if there are none.
     """
 
     group: int
--- a/yarrowwall/metrics.py
+++ b/yarrowwall/metrics.py
@@ -213,7 +213,7 @@
         self._set(ZONE_RECORDS, count)
 
     def set_age(self, age_s: float) -> None:
-        """Set the seconds since the configuration was last proved to be the newest."""
+        """Set the seconds since the configuration was last verified to be the newest."""
         self._set(CONFIGURATION_AGE, age_s)
 
     def set_relayed(self, relayed: Mapping[str, int], forwarded: Mapping[str, int]) -> None:
