--- a/features/support/mutants.py
+++ b/features/support/mutants.py
@@ -191,7 +191,7 @@
     "configurations take effect before a majority has them": Mutant(
         (Promise.CONFIGURATION,),
         (
-            (DocumentTable, "secure", _apply_at_once),
+            (DocumentTable, "replicate", _apply_at_once),
             (DocumentTable, "handle_fetched", _ready_at_once),
         ),
     ),
--- a/yarrowwall/standalone/core/configuration/controller.py
+++ b/yarrowwall/standalone/core/configuration/controller.py
@@ -131,8 +131,8 @@
         if not self.holds_lease(now) or not models:
             return
         for engine in engines:
-            mine = engine.zone == self._zone and not engine.leaving
-            if mine and self._obeyed.get(engine.engine_id) != (self._term, models):
+            is_controlled = engine.zone == self._zone and not engine.leaving
+            if is_controlled and self._obeyed.get(engine.engine_id) != (self._term, models):
                 self._outbox.emit(OrderEngine(engine.engine_id, engine.address, self._term, models))
 
     def handle_ordered(self, event: EngineOrdered) -> None:
--- a/yarrowwall/standalone/core/configuration/documents.py
+++ b/yarrowwall/standalone/core/configuration/documents.py
@@ -26,7 +26,7 @@
 
 
 @dataclass
-class _Securing:
+class _Replication:
     document: Document
     stored_on: set[str] = field(default_factory=set)
 
@@ -50,7 +50,7 @@
         self._groups = groups
         self._on_change = on_change
         self._in_force: dict[str, Document] = {}
-        self._securing: dict[str, _Securing] = {}
+        self._replicating: dict[str, _Replication] = {}
         self._fetched_from: set[str] = set()
         self._fetched: dict[str, Document] = {}
         self._has_fetched = False
@@ -80,9 +80,9 @@
         if document.version <= self.version(document.name):
             return
         self._in_force[document.name] = document
-        securing = self._securing.get(document.name)
-        if securing is not None and securing.document.version <= document.version:
-            del self._securing[document.name]
+        replicating = self._replicating.get(document.name)
+        if replicating is not None and replicating.document.version <= document.version:
+            del self._replicating[document.name]
         self._on_change(document)
 
     # Start
@@ -106,18 +106,18 @@
             self._has_fetched = True
             for document in self._fetched.values():
                 # One replica may hold a version that no majority does yet.
-                self.secure(document)
+                self.replicate(document)
 
     # Securing
 
-    def secure(self, document: Document) -> None:
+    def replicate(self, document: Document) -> None:
         """Store a document on a majority of replicas, then bring it into force."""
         if document.name not in SPREAD_DOCUMENTS or document.version <= self.version(document.name):
             return
-        securing = self._securing.get(document.name)
-        if securing is not None and securing.document.version >= document.version:
+        replicating = self._replicating.get(document.name)
+        if replicating is not None and replicating.document.version >= document.version:
             return
-        self._securing[document.name] = _Securing(document)
+        self._replicating[document.name] = _Replication(document)
         self._send_store(document, set())
 
     def _send_store(self, document: Document, skip: set[str]) -> None:
@@ -127,23 +127,23 @@
 
     def handle_stored(self, answer: DocumentStored) -> None:
         """Count a replica; with a majority the document is in force."""
-        securing = self._securing.get(answer.name)
-        if securing is None or answer.version < securing.document.version:
+        replicating = self._replicating.get(answer.name)
+        if replicating is None or answer.version < replicating.document.version:
             return
-        securing.stored_on.add(answer.replica_id)
-        if self._groups().is_quorum(securing.stored_on):
-            self.apply(securing.document)
+        replicating.stored_on.add(answer.replica_id)
+        if self._groups().is_quorum(replicating.stored_on):
+            self.apply(replicating.document)
 
     def retry(self) -> None:
         """Send again what has not been answered."""
         if not self._has_fetched:
             self.fetch()
-        for securing in self._securing.values():
-            self._send_store(securing.document, securing.stored_on)
+        for replicating in self._replicating.values():
+            self._send_store(replicating.document, replicating.stored_on)
 
     def has_unfinished(self) -> bool:
         """Return whether :meth:`retry` has something to do."""
-        return not self._has_fetched or bool(self._securing)
+        return not self._has_fetched or bool(self._replicating)
 
     # Gossip
 
--- a/yarrowwall/standalone/core/configuration/models.py
+++ b/yarrowwall/standalone/core/configuration/models.py
@@ -12,7 +12,7 @@
 #: Documents that are spread to every node.
 SPREAD_DOCUMENTS = (CONFIGURATION, MACHINES, SHARD_MAP)
 #: How many operation ids a configuration remembers, to tell a lost answer from a lost write.
-REMEMBERED_OPERATIONS = 64
+KEPT_OPERATIONS = 64
 
 
 class _Model(BaseModel):
--- a/yarrowwall/standalone/core/configuration/operator.py
+++ b/yarrowwall/standalone/core/configuration/operator.py
@@ -27,10 +27,10 @@
     ShardReplica,
 )
 from yarrowwall.standalone.core.configuration.plans import (
+    append_operation,
     confirmed_configuration,
     describe_change,
     make_plan,
-    remember,
 )
 from yarrowwall.standalone.core.configuration.transactions import (
     TransactionOutcome,
@@ -39,7 +39,7 @@
 )
 from yarrowwall.standalone.core.effects import ReplyToOperator
 from yarrowwall.standalone.core.exceptions import ConfigurationError, StalePlanError
-from yarrowwall.standalone.core.journal.reconfiguration import parse_map, replaced, with_operation
+from yarrowwall.standalone.core.journal.reconfiguration import joint_map, parse_map, with_operation
 from yarrowwall.standalone.core.outbox import Outbox
 
 _NOT_RUN = "the platform does not answer; nothing was changed"
@@ -62,7 +62,7 @@
     return Configuration.model_validate_json(document.body)
 
 
-class OperatorDesk:
+class OperatorCommandRunner:
     """Carries out operators' commands against the platform.
 
     :param first_map: the settings' shard map, in force until the platform has one.
@@ -79,7 +79,7 @@
         self._transactions = transactions
         self._documents = documents
         self._outbox = outbox
-        self._awaiting_force: dict[str, tuple[int, OperatorReply]] = {}
+        self._awaiting_in_force: dict[str, tuple[int, OperatorReply]] = {}
         self._unanswered: set[str] = set()
 
     def is_idle(self) -> bool:
@@ -160,7 +160,7 @@
         )
 
     def _show(self, now: float, request_id: str, plan_id: str) -> None:
-        def leave(document: Document | None) -> None:
+        def check_exists(document: Document | None) -> None:
             _plan_of(document, plan_id)
 
         def finish(result: TransactionResult) -> None:
@@ -170,7 +170,7 @@
             else:
                 self._reply_failure(request_id, result)
 
-        self._run(now, request_id, PLAN_PREFIX + plan_id, leave, finish)
+        self._run(now, request_id, PLAN_PREFIX + plan_id, check_exists, finish)
 
     # Confirming
 
@@ -205,7 +205,7 @@
 
         def finish(result: TransactionResult) -> None:
             if result.outcome is TransactionOutcome.DONE and result.document is not None:
-                self._accept(request_id, plan, result.document)
+                self._await_in_force(request_id, plan, result.document)
             else:
                 self._reply_failure(request_id, result)
 
@@ -218,20 +218,20 @@
             finish,
         )
 
-    def _accept(self, request_id: str, plan: Plan, document: Document) -> None:
+    def _await_in_force(self, request_id: str, plan: Plan, document: Document) -> None:
         """Tell the operator once a majority of replicas stored the configuration."""
         message = f"configuration {document.version} is accepted"
         reply = OperatorReply(OperatorOutcome.DONE, message, plan, document.version)
-        self._awaiting_force[request_id] = (document.version, reply)
-        self._documents.secure(document)
+        self._awaiting_in_force[request_id] = (document.version, reply)
+        self._documents.replicate(document)
         self.handle_in_force()
 
     def handle_in_force(self) -> None:
         """Reply to confirmations whose configuration has come into force here."""
         version = self._documents.version(CONFIGURATION)
-        for request_id, (wanted, reply) in list(self._awaiting_force.items()):
+        for request_id, (wanted, reply) in list(self._awaiting_in_force.items()):
             if version >= wanted:
-                del self._awaiting_force[request_id]
+                del self._awaiting_in_force[request_id]
                 self._reply(request_id, reply)
 
     # Amending and rejecting
@@ -285,7 +285,7 @@
 
         def change(document: Document | None) -> bytes:
             current = parse_map(document) if document else self._first_map
-            return with_operation(replaced(current, command.old_replica_id, new), operation_id)
+            return with_operation(joint_map(current, command.old_replica_id, new), operation_id)
 
         def finish(result: TransactionResult) -> None:
             if result.outcome is TransactionOutcome.DONE:
@@ -316,7 +316,7 @@
 
 def _with_status(plan: Plan, status: str, operation_id: str) -> bytes:
     """Return the body of a plan with another status."""
-    operations = remember(plan.operations, operation_id)
+    operations = append_operation(plan.operations, operation_id)
     changed = plan.model_copy(update={"status": status, "operations": operations})
     return changed.model_dump_json().encode()
 
--- a/yarrowwall/standalone/core/configuration/plans.py
+++ b/yarrowwall/standalone/core/configuration/plans.py
@@ -3,7 +3,7 @@
 from typing import TypeVar
 
 from yarrowwall.standalone.core.configuration.models import (
-    REMEMBERED_OPERATIONS,
+    KEPT_OPERATIONS,
     BudgetIntent,
     Configuration,
     Intents,
@@ -59,14 +59,14 @@
     )
 
 
-def remember(operations: list[str], operation_id: str) -> list[str]:
+def append_operation(operations: list[str], operation_id: str) -> list[str]:
     """Return the remembered operation ids with one more."""
-    return [*operations, operation_id][-REMEMBERED_OPERATIONS:]
+    return [*operations, operation_id][-KEPT_OPERATIONS:]
 
 
 def confirmed_configuration(current: Configuration, plan: Plan, operation_id: str) -> Configuration:
     """Return the configuration after a plan."""
     return Configuration(
         intents=merge_intents(current.intents, plan.intents),
-        operations=remember(current.operations, operation_id),
+        operations=append_operation(current.operations, operation_id),
     )
--- a/yarrowwall/standalone/core/gateway.py
+++ b/yarrowwall/standalone/core/gateway.py
@@ -24,7 +24,7 @@
 
 #: A request that was forwarded this often is taken on by the node it reached:
 #: the views differ, and the higher ballot decides.
-MOST_HOPS = 2
+MAX_HOPS = 2
 #: Seconds after which a caller may try another time when no owner can be found.
 RETRY_AFTER = 2.0
 
@@ -33,14 +33,14 @@
 class _OpenRequest:
     request: Request
     deadline: float
-    asker: str | None
+    asking_program: str | None
     was_forwarded: bool = False
 
 
 class Gateway:
     """Requests that entered the system at this node.
 
-    :param run_here: hands a request to this node's owner of the program.
+    :param run_locally: hands a request to this node's owner of the program.
     :param answer_owner: hands the reply to a request that an owner of this
         node asked to the program that asked.
     """
@@ -51,21 +51,21 @@
         limits: Limits,
         outbox: Outbox,
         set_timer: Callable[[str, float], None],
-        run_here: Callable[[float, StreamRoute, Request], None],
+        run_locally: Callable[[float, StreamRoute, Request], None],
         answer_owner: Callable[[float, str, Request, Reply], None],
     ) -> None:
         self._members = members
         self._limits = limits
         self._outbox = outbox
         self._set_timer = set_timer
-        self._run_here = run_here
+        self._run_locally = run_locally
         self._answer_owner = answer_owner
         self._open: dict[str, _OpenRequest] = {}
-        self._asked = 0
+        self._ask_count = 0
 
     def open_count(self) -> int:
         """Return how many callers wait for a reply."""
-        return sum(entry.asker is None for entry in self._open.values())
+        return sum(entry.asking_program is None for entry in self._open.values())
 
     def accept(self, now: float, request_id: str, request: Request) -> None:
         """Take a caller's request."""
@@ -73,12 +73,12 @@
         self._open[request_id] = _OpenRequest(request, deadline, None)
         self._send(now, request_id)
 
-    def ask(self, now: float, asker: str, request: Request) -> None:
+    def ask(self, now: float, asking_program: str, request: Request) -> None:
         """Send a request on behalf of a program that this node owns."""
-        self._asked += 1
-        request_id = f"ask/{self._outbox.node_id}/{self._members.own.incarnation}/{self._asked}"
+        self._ask_count += 1
+        request_id = f"ask/{self._outbox.node_id}/{self._members.own.incarnation}/{self._ask_count}"
         deadline = now + self._limits.request_deadline
-        self._open[request_id] = _OpenRequest(request, deadline, asker)
+        self._open[request_id] = _OpenRequest(request, deadline, asking_program)
         self._send(now, request_id)
 
     def refuse(self, request_id: str, request: Request, message: str) -> None:
@@ -95,7 +95,7 @@
         owner = self._members.owner_of(entry.request.program_id, now)
         self._set_timer(request_id, now + self._limits.forward_retry)
         if owner is None:
-            self._give_up_unless_forwarded(request_id)
+            self._refuse_unless_forwarded(request_id)
             return
         entry.was_forwarded = True
         route = StreamRoute(self._outbox.node_id, request_id)
@@ -105,12 +105,12 @@
         self, now: float, owner: str, route: StreamRoute, hops: int, request: Request
     ) -> None:
         if owner == self._outbox.node_id:
-            self._run_here(now, route, request)
+            self._run_locally(now, route, request)
             return
         forward = ForwardRequest(route.request_id, route.gateway, hops + 1, encode(request))
         self._outbox.emit(SendToPeer(owner, forward))
 
-    def _give_up_unless_forwarded(self, request_id: str) -> None:
+    def _refuse_unless_forwarded(self, request_id: str) -> None:
         if not self._open[request_id].was_forwarded:
             message = "no node that could own the program is known"
             self._emit_reply(request_id, ErrorReply(ErrorType.NOT_RUN, message, RETRY_AFTER))
@@ -124,7 +124,7 @@
     def redirect(self, now: float, route: StreamRoute, request: Request, hops: int) -> None:
         """Hand a request to the program's owner, this node included."""
         owner = self._members.owner_of(request.program_id, now)
-        if owner is None or hops >= MOST_HOPS:
+        if owner is None or hops >= MAX_HOPS:
             owner = self._outbox.node_id
         self._deliver(now, owner, route, hops, request)
 
@@ -133,7 +133,7 @@
         if winner == self._outbox.node_id:
             self.redirect(now, route, request, 0)
         else:
-            self._deliver(now, winner, route, MOST_HOPS, request)
+            self._deliver(now, winner, route, MAX_HOPS, request)
 
     def handle_reply(self, message: ForwardReply) -> None:
         """Take an owner's reply."""
@@ -147,8 +147,8 @@
         entry = self._open.pop(request_id, None)
         if entry is None:
             return False
-        if entry.asker is not None:
-            self._answer_owner(now, entry.asker, entry.request, reply)
+        if entry.asking_program is not None:
+            self._answer_owner(now, entry.asking_program, entry.request, reply)
             return False
         return True
 
--- a/yarrowwall/standalone/core/journal/reconfiguration.py
+++ b/yarrowwall/standalone/core/journal/reconfiguration.py
@@ -15,7 +15,7 @@
 from yarrowwall.messages.records import DocumentKept
 from yarrowwall.quorum import has_quorum
 from yarrowwall.standalone.core.configuration.models import SHARD_MAP, ShardMap, ShardReplica
-from yarrowwall.standalone.core.configuration.plans import remember
+from yarrowwall.standalone.core.configuration.plans import append_operation
 from yarrowwall.standalone.core.configuration.transactions import (
     TransactionResult,
     TransactionTable,
@@ -29,7 +29,7 @@
 COPIES_AT_A_TIME = 100
 
 
-def replaced(shard_map: ShardMap, old_replica_id: str, new: ShardReplica) -> ShardMap:
+def joint_map(shard_map: ShardMap, old_replica_id: str, new: ShardReplica) -> ShardMap:
     """Return the joint map that begins to replace one replica.
 
     :raises ConfigurationError: if a change is under way or the replica is not in the map.
@@ -44,14 +44,14 @@
     return shard_map.model_copy(update={"next_replicas": [*kept, new]})
 
 
-def finished(shard_map: ShardMap) -> ShardMap:
+def final_map(shard_map: ShardMap) -> ShardMap:
     """Return the map after a change: the next replicas alone."""
     return shard_map.model_copy(update={"replicas": shard_map.next_replicas, "next_replicas": []})
 
 
 def with_operation(shard_map: ShardMap, operation_id: str) -> bytes:
     """Return the body of a map that remembers one more operation."""
-    operations = remember(shard_map.operations, operation_id)
+    operations = append_operation(shard_map.operations, operation_id)
     return shard_map.model_copy(update={"operations": operations}).model_dump_json().encode()
 
 
@@ -68,20 +68,20 @@
         self._outbox = outbox
         self._owner_of = owner_of
         self._map_version = 0
-        self._left: dict[str, None] = {}
+        self._remaining: dict[str, None] = {}
 
     def begin(self, map_version: int, program_ids: list[str]) -> None:
         """Note the logs that must be copied before this replica is done."""
         self._map_version = map_version
-        self._left = dict.fromkeys(program_ids)
+        self._remaining = dict.fromkeys(program_ids)
 
     def stop(self) -> None:
         """The change is over."""
-        self._left = {}
+        self._remaining = {}
 
     def ask_owners(self) -> None:
         """Ask for some of the copies that are left; asked again until they are confirmed."""
-        for program_id in list(self._left)[:COPIES_AT_A_TIME]:
+        for program_id in list(self._remaining)[:COPIES_AT_A_TIME]:
             owner = self._owner_of(program_id)
             if owner is not None:
                 self._outbox.emit(SendToPeer(owner, CopyProgram(program_id, self._map_version)))
@@ -89,7 +89,7 @@
     def handle_copied(self, message: ProgramCopied) -> None:
         """Note a copy."""
         if message.map_version >= self._map_version:
-            self._left.pop(message.program_id, None)
+            self._remaining.pop(message.program_id, None)
 
     def handle_ask(self, sender: str, message: AskCopied, map_document: Document | None) -> None:
         """Say so if all is copied.
@@ -97,7 +97,7 @@
         The map is durable before that is said: this replica must go on
         refusing owners with an older map even after a restart.
         """
-        done = message.map_version == self._map_version and not self._left
+        done = message.map_version == self._map_version and not self._remaining
         if done and map_document is not None:
             answer = ReplicaCopied(self._replica_id, self._map_version)
             self._outbox.emit(PersistThenSend(DocumentKept(map_document), sender, answer))
@@ -144,7 +144,7 @@
         def change(document: Document | None) -> bytes | None:
             if document is None or document.version != expected_version:
                 raise ConfigurationError("the shard map has moved on")
-            return with_operation(finished(parse_map(document)), operation_id)
+            return with_operation(final_map(parse_map(document)), operation_id)
 
         def done(result: TransactionResult) -> None:
             """The watch tells every node, this one included."""
--- a/yarrowwall/standalone/core/journal/service.py
+++ b/yarrowwall/standalone/core/journal/service.py
@@ -87,8 +87,8 @@
         idle_at = state.last_activity + self._limits.idle_limit
         unfinished = state.ended is not None or state.unsettled_call() is not None
         overdue = unfinished or now >= idle_at
-        next_look = now + self._limits.sweep_interval if overdue else idle_at
-        self.sweeps.set(program_id, next_look)
+        next_check = now + self._limits.sweep_interval if overdue else idle_at
+        self.sweeps.set(program_id, next_check)
         return overdue
 
     def _forget_later(self, now: float, program_id: str, at: float) -> None:
--- a/yarrowwall/standalone/core/lookups.py
+++ b/yarrowwall/standalone/core/lookups.py
@@ -15,13 +15,13 @@
 from yarrowwall.standalone.core.outbox import Outbox
 
 #: Lookups of this node in flight at one server.
-PLACES_PER_SERVER = 16
+SLOTS_PER_SERVER = 16
 #: Places of each server that only urgent lookups take.
-URGENT_PLACES = 4
+URGENT_SLOTS = 4
 #: Servers that one lookup is tried at.
-MOST_TRIES = 3
+MAX_ATTEMPTS = 3
 #: Routine lookups that wait; more are refused at once.
-MOST_WAITING = 1_000
+MAX_WAITING = 1_000
 #: Seconds a server gets nothing after a failure.
 AVOID_SECONDS = 2.0
 #: Seconds after which a refused caller may come back.
@@ -42,7 +42,7 @@
     server_id: str = ""
 
 
-class LookupDesk:
+class LookupDispatcher:
     """The lookups that entered at this node."""
 
     def __init__(self, zone: str, outbox: Outbox) -> None:
@@ -75,7 +75,7 @@
     def accept(self, now: float, request: LookupRequested) -> None:
         """Take a lookup."""
         queue = self._waiting[request.priority]
-        if len(queue) >= MOST_WAITING:
+        if len(queue) >= MAX_WAITING:
             self.refuse(request, "too many lookups wait")
             return
         queue.append(_Lookup(request))
@@ -97,13 +97,13 @@
 
     def _choose(self, now: float, lookup: _Lookup) -> _Server | None:
         """Return the server with the fewest lookups in flight, of the own zone if it can be."""
-        places = PLACES_PER_SERVER
+        slots = SLOTS_PER_SERVER
         if lookup.request.priority is Priority.ROUTINE:
-            places -= URGENT_PLACES
+            slots -= URGENT_SLOTS
         free = [
             server
             for name, server in self._servers.items()
-            if server.in_flight < places and now >= server.avoid_until and name not in lookup.tried
+            if server.in_flight < slots and now >= server.avoid_until and name not in lookup.tried
         ]
         return min(
             free,
@@ -131,17 +131,17 @@
         else:
             if server is not None:
                 server.avoid_until = now + AVOID_SECONDS
-            self._try_again(lookup)
+            self._retry(lookup)
         self.dispatch(now)
 
-    def _try_again(self, lookup: _Lookup) -> None:
+    def _retry(self, lookup: _Lookup) -> None:
         others_left = any(name not in lookup.tried for name in self._servers)
-        if others_left and len(lookup.tried) < MOST_TRIES:
+        if others_left and len(lookup.tried) < MAX_ATTEMPTS:
             self._waiting[lookup.request.priority].appendleft(lookup)
         else:
             self.refuse(lookup.request, "no record server answers")
 
-    def give_up_overdue(self, now: float) -> None:
+    def refuse_overdue(self, now: float) -> None:
         """Refuse waiting lookups whose deadline has come."""
         for queue in self._waiting.values():
             while queue and queue[0].request.deadline <= now:
--- a/yarrowwall/standalone/core/machines.py
+++ b/yarrowwall/standalone/core/machines.py
@@ -2,7 +2,7 @@
 
 from yarrowwall.standalone.core.configuration.models import Machine, MachineList
 from yarrowwall.standalone.core.effects import PollEngine
-from yarrowwall.standalone.core.lookups import LookupDesk
+from yarrowwall.standalone.core.lookups import LookupDispatcher
 from yarrowwall.standalone.core.outbox import Outbox
 from yarrowwall.standalone.core.scheduling.scheduler import Scheduler
 from yarrowwall.standalone.core.scheduling.types import EngineMachine
@@ -17,7 +17,7 @@
     :param outbox: takes the orders to poll an engine or to cease.
     """
 
-    def __init__(self, scheduler: Scheduler, lookups: LookupDesk, outbox: Outbox) -> None:
+    def __init__(self, scheduler: Scheduler, lookups: LookupDispatcher, outbox: Outbox) -> None:
         self._scheduler = scheduler
         self._lookups = lookups
         self._outbox = outbox
@@ -32,7 +32,7 @@
             if item.kind == _ENGINE
         ]
 
-    def take(self, found: MachineList) -> None:
+    def update(self, found: MachineList) -> None:
         """Take in a newer list."""
         self.machines = found.machines
         self._scheduler.set_machines(self.engines())
--- a/yarrowwall/standalone/core/membership/table.py
+++ b/yarrowwall/standalone/core/membership/table.py
@@ -20,10 +20,10 @@
 #: Other zones whose contacts one gossip message within a zone carries.
 ZONES_PER_ROUND = 4
 #: A silent member is tried every so many rounds.
-ROUNDS_PER_SILENT_TRY = 4
+ROUNDS_PER_SILENT_PROBE = 4
 #: Silence of another zone's contact before it counts as dead, as a multiple of
 #: the limit within the zone: its heartbeats take more hops.
-REMOTE_PATIENCE = 3.0
+REMOTE_TIMEOUT_FACTOR = 3.0
 
 
 @dataclass
@@ -78,10 +78,10 @@
         return (record.incarnation, record.heartbeat) > (known.incarnation, known.heartbeat)
 
     def _is_alive(self, member: _Member, now: float) -> bool:
-        patience = self._dead_after
+        timeout = self._dead_after
         if member.record.zone != self._own.zone:
-            patience *= REMOTE_PATIENCE
-        return now - member.heard_at < patience
+            timeout *= REMOTE_TIMEOUT_FACTOR
+        return now - member.heard_at < timeout
 
     def forget_dead(self, now: float) -> None:
         """Drop members that have been dead for long; seeds come back by gossip."""
@@ -145,18 +145,18 @@
         find each other again.
         """
         salt = f"{self._own.node_id}/{self._round}"
-        near = [name for name in self.live(self._own.zone, now) if name != self._own.node_id]
-        targets = rank(salt, near)[:GOSSIP_FANOUT]
+        local_peers = [name for name in self.live(self._own.zone, now) if name != self._own.node_id]
+        targets = rank(salt, local_peers)[:GOSSIP_FANOUT]
         if self._own.node_id in self.contacts(self._own.zone, now):
-            targets += rank(salt, self._far_contacts(now))[:1]
-        if self._round % ROUNDS_PER_SILENT_TRY == 0:
+            targets += rank(salt, self._remote_contacts(now))[:1]
+        if self._round % ROUNDS_PER_SILENT_PROBE == 0:
             silent = [
                 name for name, member in self._members.items() if self._is_silent(member, now)
             ]
             targets += rank(salt, silent)[:1]
         return targets
 
-    def _far_contacts(self, now: float) -> list[str]:
+    def _remote_contacts(self, now: float) -> list[str]:
         zones = [zone for zone in self.zones() if zone != self._own.zone]
         return [name for zone in zones for name in self.contacts(zone, now)]
 
--- a/yarrowwall/standalone/core/node.py
+++ b/yarrowwall/standalone/core/node.py
@@ -49,7 +49,10 @@
     MachineList,
     ShardMap,
 )
-from yarrowwall.standalone.core.configuration.operator import OperatorDesk, parse_configuration
+from yarrowwall.standalone.core.configuration.operator import (
+    OperatorCommandRunner,
+    parse_configuration,
+)
 from yarrowwall.standalone.core.configuration.transactions import TransactionTable
 from yarrowwall.standalone.core.effects import (
     Drained,
@@ -94,7 +97,7 @@
 from yarrowwall.standalone.core.journal.replica import JournalReplica
 from yarrowwall.standalone.core.journal.service import JournalService
 from yarrowwall.standalone.core.limits import Limits
-from yarrowwall.standalone.core.lookups import LookupDesk
+from yarrowwall.standalone.core.lookups import LookupDispatcher
 from yarrowwall.standalone.core.machines import MachineTable
 from yarrowwall.standalone.core.membership.table import MemberTable
 from yarrowwall.standalone.core.outbox import Outbox
@@ -183,7 +186,7 @@
             lambda operation_id, at: self._timers.set(_TRANSACTION_PREFIX + operation_id, at),
         )
         self._transactions = transactions
-        self._operator_desk = OperatorDesk(
+        self._operator_commands = OperatorCommandRunner(
             transactions, self.documents, self._outbox, settings.shard_map
         )
         self._map_coordinator = MapChangeCoordinator(self.node_id, transactions, self._outbox)
@@ -200,7 +203,7 @@
                 self._outbox,
                 lambda program_id: self.members.owner_of(program_id, self._now),
             )
-        self.lookups = LookupDesk(settings.zone, self._outbox)
+        self.lookups = LookupDispatcher(settings.zone, self._outbox)
         self._shard_map = settings.shard_map
         self._machines = MachineTable(self.scheduler, self.lookups, self._outbox)
         self._is_watching = False
@@ -287,7 +290,7 @@
             EngineUnreachable: lambda now, event: self.scheduler.avoid(event.engine_id, now),
             CacheBlocksChanged: lambda now, event: self.scheduler.handle_cache_event(event),
             EngineOrdered: lambda now, event: self._controller.handle_ordered(event),
-            PlatformDocument: lambda now, event: self._learn_document(now, event.document),
+            PlatformDocument: lambda now, event: self._handle_document(now, event.document),
             PlatformRead: self._handle_platform_read,
             PlatformWritten: self._transactions.handle_written,
             OperatorRequest: self._handle_operator,
@@ -334,7 +337,7 @@
             reply = OperatorReply(OperatorOutcome.NOT_RUN, _NOT_SERVING)
             self._outbox.emit(ReplyToOperator(event.request_id, reply))
         else:
-            self._operator_desk.handle(now, event.request_id, event.command)
+            self._operator_commands.handle(now, event.request_id, event.command)
 
     def _handle_engine_failed(self, now: float, event: EngineFailed) -> None:
         self.owners.handle_failed(now, event)
@@ -342,7 +345,7 @@
     def _handle_platform_read(self, now: float, event: PlatformRead) -> None:
         self._transactions.handle_read(now, event)
         if event.document is not None:
-            self._learn_document(now, event.document)
+            self._handle_document(now, event.document)
 
     def _handle_drain(self, now: float, event: DrainRequested) -> None:
         """Leave: tell the others at once, then wait for what runs."""
@@ -447,7 +450,7 @@
         if key == _GOSSIP:
             self._gossip_round(now)
         elif key == _DOCUMENTS:
-            self._retry_documents(now)
+            self._retry_replication(now)
         elif key == _CONTROLLER:
             self._control(now)
         elif key == _DRAIN:
@@ -462,7 +465,7 @@
         self._timers.set(_GOSSIP, now + self._limits.gossip_interval)
         self.members.begin_round()
         self.members.forget_dead(now)
-        self.lookups.give_up_overdue(now)
+        self.lookups.refuse_overdue(now)
         self.lookups.dispatch(now)
         self._gossip(now)
         self._update_watch(now)
@@ -483,7 +486,7 @@
             self._is_watching = wanted
             self._outbox.emit(WatchPlatform(wanted))
 
-    def _retry_documents(self, now: float) -> None:
+    def _retry_replication(self, now: float) -> None:
         if self.documents.has_unfinished():
             self.documents.retry()
         if self._copier is not None:
@@ -500,7 +503,7 @@
 
     def _check_drained(self, now: float) -> None:
         callers_served = self.gateway.open_count() == 0 and self.lookups.is_idle()
-        if callers_served and self._operator_desk.is_idle() and self.owners.is_idle():
+        if callers_served and self._operator_commands.is_idle() and self.owners.is_idle():
             self._outbox.emit(Drained())
         else:
             self._timers.set(_DRAIN, now + _DRAIN_INTERVAL)
@@ -522,16 +525,16 @@
 
     # Documents
 
-    def _learn_document(self, now: float, document: Document) -> None:
-        self.documents.secure(document)
+    def _handle_document(self, now: float, document: Document) -> None:
+        self.documents.replicate(document)
 
     def _document_changed(self, document: Document) -> None:
         if document.name == MACHINES:
-            self._machines.take(MachineList.model_validate_json(document.body))
+            self._machines.update(MachineList.model_validate_json(document.body))
         elif document.name == SHARD_MAP:
             self._map_changed(parse_map(document))
         elif document.name == CONFIGURATION:
-            self._operator_desk.handle_in_force()
+            self._operator_commands.handle_in_force()
 
     def _map_changed(self, shard_map: ShardMap) -> None:
         self._shard_map = shard_map
--- a/yarrowwall/standalone/core/program/attempts.py
+++ b/yarrowwall/standalone/core/program/attempts.py
@@ -19,7 +19,7 @@
 )
 from yarrowwall.standalone.core.events import AttemptKey, EngineCompleted, EngineFailed, EngineFault
 from yarrowwall.standalone.core.identifiers import is_single_call
-from yarrowwall.standalone.core.program.family import FamilyMember
+from yarrowwall.standalone.core.program.lifecycle import ProgramLifecycle
 from yarrowwall.standalone.core.program.prompts import prompt_blocks, request_digest
 from yarrowwall.standalone.core.program.requests import (
     ORDER_PREFIX,
@@ -39,7 +39,7 @@
 RESUME = "resume"
 
 
-class AttemptRunner(FamilyMember):
+class AttemptRunner(ProgramLifecycle):
     """Runs the one call that is in progress."""
 
     def _accepted_entry(self, now: float, request: SubmitCall) -> CallAccepted:
@@ -141,7 +141,7 @@
             call.accepted.max_tokens,
             call.accepted.priority,
             call.engine_id in self.state.held_engines,
-            tuple(self._conversation(number).routes),
+            tuple(self._waiters_of(number).routes),
         )
 
     def _resume_attempt(self, now: float, call: CallState) -> None:
@@ -180,7 +180,7 @@
         if is_single_call(self.program_id):
             entries.append(ProgramEnded(self.program_id, EndReason.SINGLE_CALL, now))
         self.propose(now, entries)
-        self._settle_conversation(number, self._call_reply(call))
+        self._reply_to_waiters(number, self._call_reply(call))
         self._advance(now)
 
     def handle_failed(self, now: float, event: EngineFailed) -> None:
@@ -221,7 +221,7 @@
             self._excluded |= {call.engine_id}
             self._enqueue(now, accepted)
         else:
-            self._settle_conversation(key.call_number, self._unknown_error())
+            self._reply_to_waiters(key.call_number, self._unknown_error())
             self._advance(now)
 
     def _call_of(self, key: AttemptKey) -> CallState | None:
--- a/yarrowwall/standalone/core/program/holds.py
+++ b/yarrowwall/standalone/core/program/cache_release.py
@@ -14,7 +14,7 @@
 RELEASE = "release"
 
 
-class CacheHolder(ProgramRequests):
+class CacheReleaser(ProgramRequests):
     """Releases the cache of engines the program has left, or of all when it ends."""
 
     def _release_moved(self, now: float, number: int, engine_id: str) -> None:
--- a/yarrowwall/standalone/core/program/family.py
+++ b/yarrowwall/standalone/core/program/lifecycle.py
@@ -24,7 +24,7 @@
     CancelAttempt,
 )
 from yarrowwall.standalone.core.events import AttemptKey, EngineFault
-from yarrowwall.standalone.core.program.holds import CacheHolder
+from yarrowwall.standalone.core.program.cache_release import CacheReleaser
 from yarrowwall.standalone.core.program.requests import PendingRequest
 from yarrowwall.standalone.core.program.state import (
     CallState,
@@ -37,7 +37,7 @@
 SETTLE_POLL = 0.02
 
 
-class FamilyMember(CacheHolder):
+class ProgramLifecycle(CacheReleaser):
     """Draws the budget from the parent, gives budgets to children, ends with them."""
 
     def _open(self, now: float, pending: PendingRequest, request: OpenProgram) -> None:
@@ -123,14 +123,14 @@
         self.propose(now, entries)
         if entries[:-1] and call is not None:
             self._cancel_attempt(call)
-            self._settle_conversation(number, self._unknown_error())
+            self._reply_to_waiters(number, self._unknown_error())
         self._refuse_waiting(now, ErrorType.PROGRAM_ENDED, "the program ended", 0.0)
         for number in list(self._out_of_order):
             self._refuse_out_of_order(
                 now, number, ErrorType.PROGRAM_ENDED, "the program ended", 0.0
             )
         self._release_all(now)
-        self._finish_family(now)
+        self._settle_family(now)
 
     def _cancel_attempt(self, call: CallState) -> None:
         key = AttemptKey(self.program_id, call.accepted.call_number, call.attempt)
@@ -138,7 +138,7 @@
         self._context.attempt_ended(key, EngineFault.BROKEN)
         self.after_chosen(CancelAttempt(key, call.engine_address))
 
-    def _finish_family(self, now: float) -> None:
+    def _settle_family(self, now: float) -> None:
         """Settle the budget with the parent and end the children.
 
         Others act on what they are asked, so nothing is asked before the end
--- a/yarrowwall/standalone/core/program/owner.py
+++ b/yarrowwall/standalone/core/program/owner.py
@@ -19,9 +19,9 @@
     StreamRoute,
 )
 from yarrowwall.standalone.core.program.attempts import RESUME, AttemptRunner
-from yarrowwall.standalone.core.program.family import SETTLE
-from yarrowwall.standalone.core.program.holds import RELEASE
+from yarrowwall.standalone.core.program.cache_release import RELEASE
 from yarrowwall.standalone.core.program.journaled import RETRANSMIT
+from yarrowwall.standalone.core.program.lifecycle import SETTLE
 from yarrowwall.standalone.core.program.prompts import request_digest
 from yarrowwall.standalone.core.program.requests import (
     ORDER_PREFIX,
@@ -55,20 +55,20 @@
 
     def recovered(self, now: float) -> None:
         """Take up what the log says is in progress, then the waiting requests."""
-        self._touch(now)
+        self._reset_timers(now)
         call = self.state.unsettled_call()
         if call is not None and call.status is CallStatus.DISPATCHED:
             self._resume_attempt(now, call)
         if self.state.ended is not None:
             self._release_all(now)
-            self._finish_family(now)
+            self._settle_family(now)
         for pending in list(self.pending.values()):
             self._admit_request(now, pending)
         if call is not None and call.status is CallStatus.ACCEPTED:
             self._enqueue(now, call.accepted)
 
     def _admit_request(self, now: float, pending: PendingRequest) -> None:
-        self._touch(now)
+        self._reset_timers(now)
         match pending.request:
             case OpenProgram():
                 self._open(now, pending, pending.request)
@@ -110,7 +110,7 @@
         elif call.status is CallStatus.UNKNOWN:
             self._reply(pending, self._unknown_error())
         else:
-            self._conversation(request.call_number).routes.append(pending.route)
+            self._waiters_of(request.call_number).routes.append(pending.route)
             if self._attempt is not None:
                 self.after_chosen(AttachStream(self._attempt.key, pending.route))
 
@@ -137,7 +137,7 @@
             message = f"call {request.call_number} was made with another body"
             self._reply(pending, ErrorReply(ErrorType.CALL_CONFLICT, message, 0.0))
             return
-        self._conversation(request.call_number).routes.append(pending.route)
+        self._waiters_of(request.call_number).routes.append(pending.route)
 
     def _queue_request(self, now: float, pending: PendingRequest, request: SubmitCall) -> None:
         available = self.state.available_tokens()
@@ -148,12 +148,12 @@
             self._refuse(now, pending, ErrorType.BUDGET_EXHAUSTED, message, 0.0)
             return
         self._waiting = pending
-        self._conversation(request.call_number).routes.append(pending.route)
+        self._waiters_of(request.call_number).routes.append(pending.route)
         self._starts_left = self._limits.start_attempts
         self._excluded = frozenset()
         self._enqueue(now, self._accepted_entry(now, request))
 
-    def _touch(self, now: float) -> None:
+    def _reset_timers(self, now: float) -> None:
         self.timers.set(_UNLOAD, now + self._limits.unload_after)
         if self.state.ended is None and self.state.opened is not None:
             self.timers.set(_IDLE, self.state.last_activity + self._limits.idle_limit)
@@ -177,7 +177,7 @@
         elif key == RELEASE:
             self._retry_releases(now)
         elif key == SETTLE:
-            self._finish_family(now)
+            self._settle_family(now)
         elif key == QUEUE:
             message = "no engine became free in time"
             self._refuse_waiting(now, ErrorType.NOT_RUN, message, RETRY_AFTER)
--- a/yarrowwall/standalone/core/program/registry.py
+++ b/yarrowwall/standalone/core/program/registry.py
@@ -29,7 +29,7 @@
 from yarrowwall.standalone.core.timers import Timers
 
 #: How many lost ballots are remembered; a forgotten one costs a round trip.
-REMEMBERED_BALLOTS = 10_000
+KEPT_BALLOTS = 10_000
 
 
 class OwnerRegistry:
@@ -155,22 +155,22 @@
             self._restart(now, owner)
             return []
         self._drop(owner)
-        self._remember_ballot(message.program_id, message.promised.counter)
+        self._keep_ballot(message.program_id, message.promised.counter)
         return list(owner.pending.values())
 
     def _restart(self, now: float, owner: ProgramOwner) -> None:
         """Take a program over anew, under a higher ballot than any seen."""
         self._drop(owner)
         highest = max(owner.log.ballot, owner.log.highest_seen)
-        self._remember_ballot(owner.program_id, highest.counter)
+        self._keep_ballot(owner.program_id, highest.counter)
         successor = self._take_over(now, owner.program_id)
         successor.took_higher_ballot = True
         for pending in owner.pending.values():
             successor.handle_request(now, pending.route, pending.request)
 
-    def _remember_ballot(self, program_id: str, counter: int) -> None:
+    def _keep_ballot(self, program_id: str, counter: int) -> None:
         self._ballot_counters[program_id] = counter
-        while len(self._ballot_counters) > REMEMBERED_BALLOTS:
+        while len(self._ballot_counters) > KEPT_BALLOTS:
             self._ballot_counters.pop(next(iter(self._ballot_counters)))
 
     def _drop(self, owner: ProgramOwner) -> None:
@@ -246,7 +246,7 @@
             owner = self._owners[program_id]
             owner.handle_time(now)
             if owner.may_unload(now):
-                self._remember_ballot(program_id, owner.log.ballot.counter)
+                self._keep_ballot(program_id, owner.log.ballot.counter)
                 self._drop(owner)
             else:
                 self._schedule(owner)
--- a/yarrowwall/standalone/core/program/requests.py
+++ b/yarrowwall/standalone/core/program/requests.py
@@ -73,7 +73,7 @@
 
 
 @dataclass
-class Conversation:
+class CallWaiters:
     """Requests of one call that wait for its outcome."""
 
     routes: list[StreamRoute] = field(default_factory=list)
@@ -93,7 +93,7 @@
         self._context = context
         self.took_higher_ballot = False
         self.pending: dict[str, PendingRequest] = {}
-        self._conversations: dict[int, Conversation] = {}
+        self._waiters_by_call: dict[int, CallWaiters] = {}
         self._out_of_order: dict[int, list[PendingRequest]] = {}
         self._waiting: PendingRequest | None = None
         self._is_queued = False
@@ -119,12 +119,12 @@
         message = "the call was sent to an engine and its outcome cannot be known"
         return ErrorReply(ErrorType.OUTCOME_UNKNOWN, message, 0.0)
 
-    def _conversation(self, call_number: int) -> Conversation:
-        return self._conversations.setdefault(call_number, Conversation())
+    def _waiters_of(self, call_number: int) -> CallWaiters:
+        return self._waiters_by_call.setdefault(call_number, CallWaiters())
 
-    def _settle_conversation(self, call_number: int, reply: Reply) -> None:
-        conversation = self._conversations.pop(call_number, None)
-        for route in conversation.routes if conversation else []:
+    def _reply_to_waiters(self, call_number: int, reply: Reply) -> None:
+        waiters = self._waiters_by_call.pop(call_number, None)
+        for route in waiters.routes if waiters else []:
             self.pending.pop(route.request_id, None)
             self.after_chosen(self._outbox.reply_effect(route, reply))
 
@@ -182,8 +182,8 @@
         unsettled = self.state.unsettled_call()
         if unsettled is not None:
             number = unsettled.accepted.call_number
-        conversation = self._conversations.pop(number, None)
-        for route in conversation.routes if conversation else []:
+        waiters = self._waiters_by_call.pop(number, None)
+        for route in waiters.routes if waiters else []:
             pending = self.pending.get(route.request_id)
             if pending is not None:
                 self._refuse(now, pending, error_type, message, retry_after)
--- a/yarrowwall/standalone/core/scheduling/engines.py
+++ b/yarrowwall/standalone/core/scheduling/engines.py
@@ -8,7 +8,7 @@
 from yarrowwall.standalone.core.scheduling.types import EngineMachine, WaitingCall
 
 #: Most blocks remembered per engine; the least recently used go first.
-BELIEF_BLOCKS = 20_000
+ESTIMATE_BLOCKS = 20_000
 #: Silence after which a program is not expected to come back to its engine.
 HOME_SECONDS = 30.0
 #: Age of a load report at which an engine gets nothing new until it reports
@@ -39,7 +39,7 @@
     uncached_tokens: int
 
 
-class CacheBelief:
+class CacheEstimate:
     """Which prompt blocks an engine is believed to hold."""
 
     def __init__(self) -> None:
@@ -60,7 +60,7 @@
         for block in reversed(prompt):
             self._blocks[block.key] = block.tokens
             self._blocks.move_to_end(block.key)
-        while len(self._blocks) > BELIEF_BLOCKS:
+        while len(self._blocks) > ESTIMATE_BLOCKS:
             self._blocks.popitem(last=False)
 
     def correct(self, event: CacheBlocksChanged) -> None:
@@ -88,7 +88,7 @@
     """
 
     machine: EngineMachine
-    belief: CacheBelief = field(default_factory=CacheBelief)
+    cache_estimate: CacheEstimate = field(default_factory=CacheEstimate)
     own: dict[AttemptKey, OwnCall] = field(default_factory=dict)
     report: EngineLoadReported | None = None
     ended_at: list[float] = field(default_factory=list)
@@ -130,11 +130,11 @@
 
     def note_sent(self, key: AttemptKey, call: WaitingCall, now: float) -> None:
         """Note a call that goes to the engine."""
-        uncached = call.prompt_tokens() - self.belief.cached_tokens(call.prompt)
+        uncached = call.prompt_tokens() - self.cache_estimate.cached_tokens(call.prompt)
         self.own[key] = OwnCall(call, now, uncached)
         self.home_of[call.program_id] = now
         self.home_of.move_to_end(call.program_id)
-        self.belief.note_prompt(call.prompt)
+        self.cache_estimate.note_prompt(call.prompt)
 
     def home_count(self, now: float) -> int:
         """Return how many programs are likely to come back here."""
--- a/yarrowwall/standalone/core/scheduling/policies.py
+++ b/yarrowwall/standalone/core/scheduling/policies.py
@@ -127,7 +127,7 @@
         return engine.occupancy() >= engine.capacity() + self._weights.overcommit
 
     def _cost(self, call: WaitingCall, engine: EngineView, now: float) -> float:
-        uncached = call.prompt_tokens() - engine.belief.cached_tokens(call.prompt)
+        uncached = call.prompt_tokens() - engine.cache_estimate.cached_tokens(call.prompt)
         prefill = uncached / self._profile.prefill_tokens_per_second
         pending = engine.pending_prefill() / self._profile.prefill_tokens_per_second
         spill = 0.0 if engine.machine.zone == self._zone else self._weights.spill_seconds
--- a/yarrowwall/standalone/core/scheduling/scheduler.py
+++ b/yarrowwall/standalone/core/scheduling/scheduler.py
@@ -40,7 +40,7 @@
         self._engines: dict[str, EngineView] = {}
         self._waiting: dict[str, WaitingCall] = {}
         self._engine_by_attempt: dict[AttemptKey, str] = {}
-        self._has_news = False
+        self._has_changed = False
 
     # Engines
 
@@ -67,13 +67,13 @@
         view = self._engines.get(report.engine_id)
         if view is not None:
             view.note_report(report)
-            self._has_news = True
+            self._has_changed = True
 
     def handle_cache_event(self, event: CacheBlocksChanged) -> None:
         """Correct the cache belief of an engine."""
         view = self._engines.get(event.engine_id)
         if view is not None:
-            view.belief.correct(event)
+            view.cache_estimate.correct(event)
 
     def avoid(self, engine_id: str, now: float) -> None:
         """Place nothing new on an engine that did not answer."""
@@ -86,7 +86,7 @@
     def enqueue(self, call: WaitingCall) -> None:
         """Add a call; a program has at most one."""
         self._waiting[call.program_id] = call
-        self._has_news = True
+        self._has_changed = True
 
     def withdraw(self, program_id: str) -> None:
         """Remove a program's waiting call."""
@@ -102,12 +102,12 @@
         Without news since the last time nothing can have changed, and when all
         engines are full only urgent calls are looked at: the queue may be long.
         """
-        if not self._has_news:
+        if not self._has_changed:
             return []
-        self._has_news = False
+        self._has_changed = False
         placements = []
         for call in self._in_order(now):
-            if call.priority is Priority.ROUTINE and not self._has_room():
+            if call.priority is Priority.ROUTINE and not self._has_capacity():
                 continue
             engines = self._usable_engines(call, now)
             if not engines:
@@ -122,7 +122,7 @@
             engine.note_sent(provisional, call, now)
         return placements
 
-    def _has_room(self) -> bool:
+    def _has_capacity(self) -> bool:
         return not all(self._policy.is_full(view) for view in self._engines.values())
 
     def _in_order(self, now: float) -> list[WaitingCall]:
@@ -167,7 +167,7 @@
         if view is None:
             return
         view.note_ended(key, now)
-        self._has_news = True
+        self._has_changed = True
         if isinstance(outcome, EngineFault):
             view.avoid_until = now + AVOID_SECONDS
-            view.belief.clear()
+            view.cache_estimate.clear()
