--- a/yarrowwall/standalone/core/configuration/__init__.py
+++ b/yarrowwall/standalone/core/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Operators' intents, plans, and the documents that every node has in force."""
+"""Operators' intents and plans, and the documents in force on every node."""
--- a/yarrowwall/standalone/core/configuration/commands.py
+++ b/yarrowwall/standalone/core/configuration/commands.py
@@ -1,4 +1,4 @@
-"""Operators' commands and their replies."""
+"""Commands of operators and the replies to them."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True)
 class ApplyIntents:
-    """Compute a plan for intents."""
+    """Compute a plan that applies intents."""
 
     plan_id: str
     intents: Intents
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True)
 class AmendPlan:
-    """Reject a plan and compute another in its place."""
+    """Reject a plan and compute a new one from other intents."""
 
     plan_id: str
     new_plan_id: str
@@ -39,14 +39,14 @@
 
 @dataclass(frozen=True)
 class RejectPlan:
-    """Drop a plan."""
+    """Reject a plan."""
 
     plan_id: str
 
 
 @dataclass(frozen=True)
 class ReplaceReplica:
-    """Put another replica in the place of one whose disk is gone."""
+    """Replace a replica whose disk is lost."""
 
     old_replica_id: str
     new_replica_id: str
@@ -58,24 +58,24 @@
 
 
 class OperatorOutcome(StrEnum):
-    """How an operator's command ended."""
+    """Outcome of an operator's command."""
 
     DONE = "done"
     INVALID = "invalid_request"
     UNKNOWN_PLAN = "plan_unknown"
     STALE_PLAN = "stale_plan"
-    #: Nothing was changed; the command may be given again.
+    #: Nothing was changed; the command can be retried.
     NOT_RUN = "not_run"
-    #: The platform gave no answer; the change may have taken effect.
+    #: The platform did not answer; the change may have taken effect.
     OUTCOME_UNKNOWN = "outcome_unknown"
 
 
 @dataclass(frozen=True)
 class OperatorReply:
-    """The answer to an operator's command.
+    """The reply to an operator's command.
 
-    :param changed: what changed since a stale plan was computed, one line each.
-    :param version: configuration version that holds the change.
+    :param changed: changes since a stale plan was computed, one line each.
+    :param version: configuration version that contains the change.
     """
 
     outcome: OperatorOutcome
--- a/yarrowwall/standalone/core/configuration/controller.py
+++ b/yarrowwall/standalone/core/configuration/controller.py
@@ -1,10 +1,10 @@
-"""The controller of a zone: orders engines to serve what the configuration says.
+"""The controller of a zone: orders engines to serve the configured models.
 
-The controller is a lease in the platform's object store. Clocks are not
-compared: a candidate takes the lease over when the object has not changed for
-a lease's length on the candidate's own clock. The term rises with every new
-holder, and engines refuse orders of a lower term than they have seen, so a
-holder that was paused past its lease does no harm.
+The controller is the node that holds a lease in the platform's object store.
+Clocks of different nodes are not compared: a candidate takes the lease over when
+the object has not changed for the length of a lease on the candidate's own clock.
+The term rises with every new holder, and engines refuse orders of a lower term
+than they have seen, so a holder that was paused past its lease does no harm.
 """
 
 import json
@@ -28,12 +28,12 @@
 from yarrowwall.standalone.core.outbox import Outbox
 from yarrowwall.standalone.core.scheduling.types import EngineMachine
 
-#: The lease is renewed this many times a lease length.
+#: Number of renewals within the length of a lease.
 RENEWALS_PER_LEASE = 3
 
 
 class LeaseHeldError(ConfigurationError):
-    """Another node holds the lease and renews it."""
+    """Another node holds the lease."""
 
 
 @dataclass
@@ -43,7 +43,7 @@
 
 
 def wanted_models(configuration: Configuration, zone: str) -> tuple[str, ...]:
-    """Return the models that a zone's engines are to serve, adapters as ``model:adapter``."""
+    """Return the models that a zone's engines should serve, adapters as ``model:adapter``."""
     names = set()
     for intent in configuration.intents.serving:
         if zone in intent.zones:
@@ -54,7 +54,7 @@
 
 
 class Controller:
-    """This node's part in controlling its zone's engines."""
+    """Competes for the zone's controller lease and orders the engines while holding it."""
 
     def __init__(
         self,
@@ -76,11 +76,11 @@
         self._obeyed: dict[str, tuple[int, tuple[str, ...]]] = {}
 
     def holds_lease(self, now: float) -> bool:
-        """Return whether this node may order engines, by its own clock."""
+        """Return whether this node holds the lease according to its own clock."""
         return now < self._held_until
 
     def renew(self, now: float) -> None:
-        """Renew the lease, or take it if its holder has fallen silent."""
+        """Renew the lease, or take it over if its holder has not renewed it."""
         self._attempts += 1
         operation_id = f"lease/{self._node_id}/{self._attempts}"
         held_until = now + self._limits.lease
@@ -126,7 +126,7 @@
     def reconcile(
         self, now: float, configuration: Configuration, engines: list[EngineMachine]
     ) -> None:
-        """Order every engine that has not yet obeyed the wanted state."""
+        """Send an order to every engine that has not confirmed the wanted models."""
         models = wanted_models(configuration, self._zone)
         if not self.holds_lease(now) or not models:
             return
@@ -136,7 +136,7 @@
                 self._outbox.emit(OrderEngine(engine.engine_id, engine.address, self._term, models))
 
     def handle_ordered(self, event: EngineOrdered) -> None:
-        """Note an engine's answer; a refusal means that another node has the lease."""
+        """Handle an engine's answer; a refusal means that another node holds the lease."""
         if event.accepted:
             self._obeyed[event.engine_id] = (event.term, event.models)
         elif event.term == self._term:
--- a/yarrowwall/standalone/core/configuration/documents.py
+++ b/yarrowwall/standalone/core/configuration/documents.py
@@ -1,9 +1,9 @@
-"""Spreading documents: secured on a majority of replicas, then in force, then gossiped.
+"""Distribution of documents: stored on a majority of replicas, put in force, gossiped.
 
 A document read from the platform is first stored on a majority of the journal
-replicas, and only then in force on any node. So a node that starts while the
-platform is down, and takes the highest version of a majority of replicas,
-never has an older document than some node had in force before.
+replicas and only then put in force on any node. A node that starts while the
+platform is down reads the highest version of a majority of replicas, so it
+never gets an older document than any node had in force before.
 """
 
 from collections.abc import Callable
@@ -32,10 +32,10 @@
 
 
 class DocumentTable:
-    """Documents in force on this node, and those being secured.
+    """Documents in force on this node, and documents being stored on replicas.
 
     :param groups: returns the replicas of the shard map in force.
-    :param on_change: called with each document that comes into force.
+    :param on_change: called with each document that is put in force.
     """
 
     def __init__(
@@ -57,13 +57,13 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether everything a majority of replicas had at the start is in force here."""
+        """Whether all documents that a majority of replicas had at the start are in force."""
         return self._has_fetched and all(
             self.version(document.name) >= document.version for document in self._fetched.values()
         )
 
     def in_force(self, name: str) -> Document | None:
-        """Return a document in force."""
+        """Return a document in force; None without one."""
         return self._in_force.get(name)
 
     def version(self, name: str) -> int:
@@ -72,11 +72,11 @@
         return document.version if document else 0
 
     def versions(self) -> list[DocumentVersion]:
-        """Return the digest that gossip carries."""
+        """Return the names and versions to send with gossip."""
         return [DocumentVersion(name, doc.version) for name, doc in sorted(self._in_force.items())]
 
     def apply(self, document: Document) -> None:
-        """Bring a secured document into force unless one as new is."""
+        """Put a replicated document in force unless an equally new one is."""
         if document.version <= self.version(document.name):
             return
         self._in_force[document.name] = document
@@ -88,13 +88,13 @@
     # Start
 
     def fetch(self) -> None:
-        """Ask the replicas for what they stored; sent again until a majority answered."""
+        """Request the stored documents from replicas; repeated until a majority has answered."""
         for replica in self._groups().replicas():
             if replica.replica_id not in self._fetched_from:
                 self._outbox.emit(SendToPeer(replica.node_id, FetchDocuments(self._node_id)))
 
     def handle_fetched(self, answer: FetchedDocuments) -> None:
-        """Take a replica's documents; those of a majority are brought into force."""
+        """Collect a replica's documents; with a majority, replicate the newest of each."""
         if self._has_fetched:
             return
         self._fetched_from.add(answer.replica_id)
@@ -105,13 +105,13 @@
         if self._groups().is_quorum(self._fetched_from):
             self._has_fetched = True
             for document in self._fetched.values():
-                # One replica may hold a version that no majority does yet.
+                # The newest version may be on less than a majority of replicas.
                 self.replicate(document)
 
-    # Securing
+    # Replication
 
     def replicate(self, document: Document) -> None:
-        """Store a document on a majority of replicas, then bring it into force."""
+        """Store a document on a majority of replicas, then put it in force."""
         if document.name not in SPREAD_DOCUMENTS or document.version <= self.version(document.name):
             return
         replicating = self._replicating.get(document.name)
@@ -126,7 +126,7 @@
                 self._outbox.emit(SendToPeer(replica.node_id, StoreDocument(document)))
 
     def handle_stored(self, answer: DocumentStored) -> None:
-        """Count a replica; with a majority the document is in force."""
+        """Count a replica that stored a document; with a majority put the document in force."""
         replicating = self._replicating.get(answer.name)
         if replicating is None or answer.version < replicating.document.version:
             return
@@ -135,20 +135,20 @@
             self.apply(replicating.document)
 
     def retry(self) -> None:
-        """Send again what has not been answered."""
+        """Resend the requests that have not been answered."""
         if not self._has_fetched:
             self.fetch()
         for replicating in self._replicating.values():
             self._send_store(replicating.document, replicating.stored_on)
 
     def has_unfinished(self) -> bool:
-        """Return whether :meth:`retry` has something to do."""
+        """Return whether :meth:`retry` would send anything."""
         return not self._has_fetched or bool(self._replicating)
 
     # Gossip
 
     def handle_digest(self, sender: str, versions: list[DocumentVersion]) -> None:
-        """Push what the sender lacks; pull what this node lacks."""
+        """Push newer documents to the sender, and pull the sender's newer ones."""
         theirs = {entry.name: entry.version for entry in versions}
         for name, document in self._in_force.items():
             if theirs.get(name, 0) < document.version:
@@ -158,7 +158,7 @@
                 self._outbox.emit(SendToPeer(sender, DocumentPull(self._node_id, name)))
 
     def handle_pull(self, requester: str, name: str) -> None:
-        """Send a document that was asked for."""
+        """Send a requested document."""
         document = self._in_force.get(name)
         if document is not None:
             self._outbox.emit(SendToPeer(requester, DocumentPush(document)))
--- a/yarrowwall/standalone/core/configuration/models.py
+++ b/yarrowwall/standalone/core/configuration/models.py
@@ -1,4 +1,4 @@
-"""The documents of the platform, as checked models."""
+"""Validated models of the documents in the platform's object store."""
 
 from typing import Literal
 
@@ -9,9 +9,9 @@
 SHARD_MAP = "shard-map"
 CONTROLLER_LEASE = "controller-lease"
 PLAN_PREFIX = "plans/"
-#: Documents that are spread to every node.
+#: Documents that are distributed to every node.
 SPREAD_DOCUMENTS = (CONFIGURATION, MACHINES, SHARD_MAP)
-#: How many operation ids a configuration remembers, to tell a lost answer from a lost write.
+#: Number of operation ids kept in a document, to tell a lost answer from a lost write.
 KEPT_OPERATIONS = 64
 
 
@@ -20,7 +20,7 @@
 
 
 class ServingIntent(_Model):
-    """Which model and adapter serve a desk in which zones."""
+    """Model and adapter that serve a desk, and the zones in which they do."""
 
     desk: str = Field(min_length=1)
     model: str = Field(min_length=1)
@@ -29,21 +29,21 @@
 
 
 class BudgetIntent(_Model):
-    """What a program of a desk may spend, in tokens."""
+    """Budget of a desk's programs, in tokens per program."""
 
     desk: str = Field(min_length=1)
     tokens: int = Field(gt=0)
 
 
 class LookupIntent(_Model):
-    """Whether a kind of lookup counts as urgent."""
+    """Priority of a kind of lookup."""
 
     kind: str = Field(min_length=1)
     urgent: bool
 
 
 class Intents(_Model):
-    """A set of intents; each replaces the intent of the same desk or kind."""
+    """A set of intents; each replaces an earlier intent for the same desk or kind."""
 
     serving: list[ServingIntent] = []
     budgets: list[BudgetIntent] = []
@@ -51,7 +51,7 @@
 
 
 class Configuration(_Model):
-    """What the operators accepted; the body of the configuration document.
+    """Intents that operators confirmed; the body of the configuration document.
 
     :ivar operations: ids of the latest writes, newest last.
     """
@@ -61,11 +61,11 @@
 
 
 class Plan(_Model):
-    """A change that waits for an operator's word.
+    """A proposed change that an operator confirms or rejects.
 
     :ivar base_version: configuration version the plan was computed on.
-    :ivar base: the intents of that version, to tell later what changed since.
-    :ivar effects: what would change, one line each.
+    :ivar base: the intents of that version, to list later what has changed since.
+    :ivar effects: the resulting changes, one line each.
     """
 
     plan_id: str
@@ -78,7 +78,7 @@
 
 
 class Machine(_Model):
-    """A machine as the platform's lagging list names it."""
+    """A machine in the platform's list, which lags behind reality."""
 
     machine_id: str
     kind: Literal["engine", "records", "tool", "node"]
@@ -88,7 +88,7 @@
 
 
 class MachineList(_Model):
-    """Body of the machines document."""
+    """Body of the document with the machine list."""
 
     machines: list[Machine] = []
 
@@ -102,10 +102,10 @@
 
 
 class ShardMap(_Model):
-    """Which replicas hold the programs' logs.
+    """The replicas that hold the programs' logs.
 
-    :ivar replicas: the group that decides.
-    :ivar next_replicas: during a change, the group that decides as well.
+    :ivar replicas: current replicas; decisions need a majority of each group of them.
+    :ivar next_replicas: future replicas during a change, whose majorities are needed too.
     """
 
     replicas: list[ShardReplica] = []
--- a/yarrowwall/standalone/core/configuration/operator.py
+++ b/yarrowwall/standalone/core/configuration/operator.py
@@ -1,4 +1,4 @@
-"""Operators' commands: plans are proposed, confirmed, amended or rejected."""
+"""Runs operators' commands: plans are proposed, confirmed, amended or rejected."""
 
 import json
 from collections.abc import Callable
@@ -47,25 +47,25 @@
 
 
 class UnknownPlanError(ConfigurationError):
-    """There is no plan of the id."""
+    """No plan has the given id."""
 
 
 def includes_operation(body: bytes, operation_id: str) -> bool:
-    """Return whether an object's body remembers an operation."""
+    """Return whether an object's body lists an operation."""
     return operation_id in json.loads(body).get("operations", [])
 
 
 def parse_configuration(document: Document | None) -> Configuration:
-    """Return the configuration of a document; the empty one without it."""
+    """Return the configuration in a document; an empty one without a document."""
     if document is None:
         return Configuration()
     return Configuration.model_validate_json(document.body)
 
 
 class OperatorCommandRunner:
-    """Carries out operators' commands against the platform.
+    """Runs operators' commands against the platform's store.
 
-    :param first_map: the settings' shard map, in force until the platform has one.
+    :param first_map: shard map of the settings, used until the platform has one.
     """
 
     def __init__(
@@ -83,7 +83,7 @@
         self._unanswered: set[str] = set()
 
     def is_idle(self) -> bool:
-        """Return whether every command has its reply."""
+        """Return whether every command has got its reply."""
         return not self._unanswered
 
     def handle(self, now: float, request_id: str, command: OperatorCommand) -> None:
@@ -175,7 +175,7 @@
     # Confirming
 
     def _confirm(self, now: float, request_id: str, plan_id: str) -> None:
-        """Mark the plan confirmed, then swap the configuration it was computed on."""
+        """Mark the plan as confirmed, then write the new configuration."""
 
         def mark(document: Document | None) -> bytes | None:
             plan = _plan_of(document, plan_id)
@@ -195,7 +195,7 @@
         self._run(now, f"mark/{request_id}", PLAN_PREFIX + plan_id, mark, finish)
 
     def _swap_configuration(self, now: float, request_id: str, plan: Plan) -> None:
-        # Fixed by the plan: two operators who confirm it apply it once.
+        # Derived from the plan id, so that two operators who confirm the plan apply it once.
         operation_id = f"confirm/{plan.plan_id}"
 
         def swap(document: Document | None) -> bytes:
@@ -219,7 +219,7 @@
         )
 
     def _await_in_force(self, request_id: str, plan: Plan, document: Document) -> None:
-        """Tell the operator once a majority of replicas stored the configuration."""
+        """Reply to the operator once a majority of replicas has stored the configuration."""
         message = f"configuration {document.version} is accepted"
         reply = OperatorReply(OperatorOutcome.DONE, message, plan, document.version)
         self._awaiting_in_force[request_id] = (document.version, reply)
@@ -227,7 +227,7 @@
         self.handle_in_force()
 
     def handle_in_force(self) -> None:
-        """Reply to confirmations whose configuration has come into force here."""
+        """Reply to confirmations whose configuration is now in force on this node."""
         version = self._documents.version(CONFIGURATION)
         for request_id, (wanted, reply) in list(self._awaiting_in_force.items()):
             if version >= wanted:
@@ -277,7 +277,7 @@
     # Replicas
 
     def _replace_replica(self, now: float, request_id: str, command: ReplaceReplica) -> None:
-        # Fixed by the replicas: a command that is given again changes the map once.
+        # Derived from the replica ids, so that a repeated command changes the map once.
         operation_id = f"replace/{command.old_replica_id}/{command.new_replica_id}"
         new = ShardReplica(
             replica_id=command.new_replica_id, node_id=command.node_id, zone=command.zone
@@ -305,9 +305,9 @@
 
 
 def _plan_of(document: Document | None, plan_id: str) -> Plan:
-    """Return the plan of a document.
+    """Return the plan in a document.
 
-    :raises UnknownPlanError: if there is none.
+    :raises UnknownPlanError: if there is no document.
     """
     if document is None:
         raise UnknownPlanError(f"no plan {plan_id}")
@@ -315,16 +315,16 @@
 
 
 def _with_status(plan: Plan, status: str, operation_id: str) -> bytes:
-    """Return the body of a plan with another status."""
+    """Return the body of a plan with a new status."""
     operations = append_operation(plan.operations, operation_id)
     changed = plan.model_copy(update={"status": status, "operations": operations})
     return changed.model_dump_json().encode()
 
 
 def check_not_stale(document: Document | None, plan: Plan) -> None:
-    """Refuse a plan computed on another version than the platform's.
+    """Check that a plan was computed on the platform's current configuration.
 
-    :raises StalePlanError: if the version moved on.
+    :raises StalePlanError: if the version has changed since.
     """
     version = document.version if document else 0
     if version == plan.base_version:
--- a/yarrowwall/standalone/core/configuration/plans.py
+++ b/yarrowwall/standalone/core/configuration/plans.py
@@ -1,4 +1,4 @@
-"""Computing plans: what a set of intents would change."""
+"""Computes plans: the changes that a set of intents would make."""
 
 from typing import TypeVar
 
@@ -16,7 +16,7 @@
 
 
 def merge_intents(current: Intents, changes: Intents) -> Intents:
-    """Return the intents after a change."""
+    """Return the current intents with changes applied."""
     return Intents(
         serving=_merge(current.serving, changes.serving, "desk"),
         budgets=_merge(current.budgets, changes.budgets, "desk"),
@@ -25,14 +25,14 @@
 
 
 def _merge(current: list[_Item], changes: list[_Item], key: str) -> list[_Item]:
-    """Put changed items in by their key; the result is sorted by key."""
+    """Replace or add items by their key; the result is sorted by key."""
     merged = {getattr(item, key): item for item in current}
     merged.update({getattr(item, key): item for item in changes})
     return [merged[name] for name in sorted(merged)]
 
 
 def describe_change(before: Intents, after: Intents) -> list[str]:
-    """Return one line for each intent that differs."""
+    """Return a line for each intent that was added or changed."""
     lines = []
     for section in ("serving", "budgets", "lookups"):
         old = {_key(item): item for item in getattr(before, section)}
@@ -48,7 +48,7 @@
 
 
 def make_plan(plan_id: str, base_version: int, current: Configuration, changes: Intents) -> Plan:
-    """Return the plan of a change on the configuration in force."""
+    """Return a plan that applies changes to the current configuration."""
     after = merge_intents(current.intents, changes)
     return Plan(
         plan_id=plan_id,
@@ -60,12 +60,12 @@
 
 
 def append_operation(operations: list[str], operation_id: str) -> list[str]:
-    """Return the remembered operation ids with one more."""
+    """Return the operation ids with one appended, without the oldest beyond the limit."""
     return [*operations, operation_id][-KEPT_OPERATIONS:]
 
 
 def confirmed_configuration(current: Configuration, plan: Plan, operation_id: str) -> Configuration:
-    """Return the configuration after a plan."""
+    """Return the configuration with a plan applied."""
     return Configuration(
         intents=merge_intents(current.intents, plan.intents),
         operations=append_operation(current.operations, operation_id),
--- a/yarrowwall/standalone/core/configuration/transactions.py
+++ b/yarrowwall/standalone/core/configuration/transactions.py
@@ -1,8 +1,9 @@
-"""Read, change and compare-and-swap of one object of the platform.
+"""Read, change and compare-and-swap of one object in the platform's store.
 
 An answer can be lost after the write took effect. Every write therefore puts
-its operation id into the object, and the transaction reads the object back
-until it knows. The expected version makes a repeated write harmless.
+its operation id into the object, and after a failure the transaction reads the
+object again until the outcome is clear. The expected version makes a repeated
+write harmless.
 """
 
 from collections.abc import Callable
@@ -16,28 +17,28 @@
 from yarrowwall.standalone.core.limits import Limits
 from yarrowwall.standalone.core.outbox import Outbox
 
-#: Seconds after which a transaction gives up on the platform.
+#: Seconds after which a transaction ends without an answer of the platform.
 TRANSACTION_DEADLINE = 15.0
 
 
 class TransactionOutcome(StrEnum):
-    """How a transaction ended."""
+    """Outcome of a transaction."""
 
     DONE = "done"
-    #: The change was refused by its own rules; nothing was written.
+    #: The change function rejected the object; nothing was written.
     REJECTED = "rejected"
-    #: The platform did not answer and nothing was sent to be written.
+    #: The platform did not answer and no write was sent.
     NOT_RUN = "not_run"
-    #: A write was sent and no answer or read tells its fate.
+    #: A write was sent, and neither its answer nor a later read arrived.
     UNKNOWN = "unknown"
 
 
 @dataclass(frozen=True)
 class TransactionResult:
-    """The end of a transaction.
+    """Result of a transaction.
 
-    :param document: the object that holds the change, if done.
-    :param error: why it was rejected.
+    :param document: the object with the change, if done.
+    :param error: reason of a rejection.
     """
 
     outcome: TransactionOutcome
@@ -48,9 +49,9 @@
 class Transaction:
     """One compare-and-swap.
 
-    :param change: returns the new body; None leaves the object as it is;
+    :param change: returns the new body, or None to leave the object unchanged;
         raises :class:`ConfigurationError` to reject.
-    :param includes: tells whether a body already holds the operation.
+    :param includes: returns whether a body already contains the operation.
     :param done: called once with the result.
     """
 
@@ -75,11 +76,11 @@
         self.is_finished = False
 
     def read(self) -> None:
-        """Read the object; the first step, and the step after every doubt."""
+        """Read the object, at the start and after each failed or unanswered request."""
         self._outbox.emit(ReadPlatform(self.operation_id, self._name))
 
     def handle_read(self, event: PlatformRead) -> bool:
-        """Change and write what was read.
+        """Compute the change from the object read, and write it.
 
         :returns: whether to read again later.
         """
@@ -105,17 +106,17 @@
         return False
 
     def _reject(self, error: ConfigurationError) -> None:
-        """End as rejected; an earlier write of unknown fate cannot succeed any more.
+        """End as rejected; no earlier write of this transaction can still succeed.
 
-        The object has moved past the version that write expected, or the
-        change is refused on the very version, and does not hold the operation.
+        The object does not contain the operation. Either its version is newer than
+        the earlier write expected, or the change is rejected on that version.
         """
         self._finish(TransactionResult(TransactionOutcome.REJECTED, error=error))
 
     def handle_written(self, event: PlatformWritten) -> bool:
-        """Take the answer to a write.
+        """Handle the answer to a write.
 
-        :returns: whether to read again later, to learn what happened.
+        :returns: whether to read again later, to learn the outcome.
         """
         if self.is_finished:
             return False
@@ -138,7 +139,7 @@
 
 
 class TransactionTable:
-    """The transactions of a node in progress, by operation id."""
+    """A node's transactions in progress, by operation id."""
 
     def __init__(self, limits: Limits, outbox: Outbox, set_timer: Callable[[str, float], None]):
         self._limits = limits
@@ -162,17 +163,17 @@
         )
         self._transactions[operation_id] = transaction
         transaction.read()
-        # The driver answers every read and write; the timer is for the rest.
+        # The driver answers every read and write; the timer enforces the deadline.
         self._set_timer(operation_id, deadline)
 
     def handle_read(self, now: float, event: PlatformRead) -> None:
-        """Hand a read's answer to its transaction."""
+        """Pass the answer to a read to its transaction."""
         transaction = self._transactions.get(event.operation_id)
         if transaction is not None:
             self._after(now, transaction, transaction.handle_read(event))
 
     def handle_written(self, now: float, event: PlatformWritten) -> None:
-        """Hand a write's answer to its transaction."""
+        """Pass the answer to a write to its transaction."""
         transaction = self._transactions.get(event.operation_id)
         if transaction is not None:
             self._after(now, transaction, transaction.handle_written(event))
@@ -184,7 +185,7 @@
             self._set_timer(transaction.operation_id, now + self._limits.platform_retry)
 
     def handle_timer(self, now: float, operation_id: str) -> None:
-        """Read again, or give up after the deadline."""
+        """Read again, or end the transaction after its deadline."""
         transaction = self._transactions.get(operation_id)
         if transaction is None:
             return
--- a/yarrowwall/standalone/core/journal/__init__.py
+++ b/yarrowwall/standalone/core/journal/__init__.py
@@ -1,1 +1,1 @@
-"""The replicated log of each program."""
+"""The replicated log of each program, written with Paxos."""
--- a/yarrowwall/standalone/core/journal/placement.py
+++ b/yarrowwall/standalone/core/journal/placement.py
@@ -1,4 +1,4 @@
-"""Which replicas hold a program's log, computed from the shard map."""
+"""Selects the replicas that hold a program's log, from the shard map."""
 
 from collections.abc import Sequence
 
@@ -7,10 +7,10 @@
 from yarrowwall.standalone.core.configuration.models import ShardMap, ShardReplica
 from yarrowwall.standalone.core.journal.proposer import ReplicaAddress, ReplicaGroups
 
-#: Programs are spread over this many shards; all programs of one move together.
+#: Number of shards; all programs of a shard use the same replicas.
 SHARDS = 4096
-#: Replicas that store the spread documents, so that their number does not
-#: grow with the fleet.
+#: Number of replicas that store the distributed documents; fixed, so that it does
+#: not grow with the fleet.
 DOCUMENT_REPLICAS = 5
 
 _DOCUMENTS_KEY = "documents"
@@ -22,7 +22,7 @@
 
 
 def _choose(key: str, replicas: Sequence[ShardReplica], count: int) -> tuple[ReplicaAddress, ...]:
-    """Return the best replicas for a key, from different zones as far as there are zones."""
+    """Return the highest-ranked replicas for a key, from as many zones as possible."""
     by_id = {replica.replica_id: replica for replica in replicas}
     ranked = [by_id[replica_id] for replica_id in rank(key, by_id)]
     chosen: list[ShardReplica] = []
@@ -49,7 +49,7 @@
 
 
 def all_groups(replicas: Sequence[ShardReplica]) -> set[frozenset[str]]:
-    """Return every replica group that some shard has, as replica ids."""
+    """Return the replica groups of all shards, as sets of replica ids."""
     groups = set()
     for shard in range(SHARDS):
         chosen = _choose(_shard_key(shard), replicas, REPLICAS_PER_SHARD)
@@ -62,5 +62,5 @@
 
 
 def document_groups(shard_map: ShardMap, version: int) -> ReplicaGroups:
-    """Return the replica groups that store the spread documents."""
+    """Return the replica groups that store the distributed documents."""
     return _groups(_DOCUMENTS_KEY, shard_map, version, DOCUMENT_REPLICAS)
--- a/yarrowwall/standalone/core/journal/proposer.py
+++ b/yarrowwall/standalone/core/journal/proposer.py
@@ -1,9 +1,9 @@
-"""The owner's side of one program's log.
+"""The proposer of one program's log, run by the program's owner.
 
-A proposer first prepares its ballot on a quorum, merges what the promises
-return and appends the unchosen rest again under its own ballot; only then does
-it lead. It sends entries as they are proposed, without waiting for earlier
-ones, and each replica gets them without gaps.
+A proposer first prepares its ballot on a quorum. It then leads: it adopts the log
+that the promises return and appends the entries not known to be chosen again under
+its own ballot. It sends new entries without waiting for earlier ones to be
+acknowledged, and each replica accepts them only without gaps.
 """
 
 from collections.abc import Sequence
@@ -26,10 +26,10 @@
 
 @dataclass(frozen=True)
 class ReplicaAddress:
-    """Where a replica is.
+    """Location of a replica.
 
-    :param replica_id: the id made with the data folder.
-    :param node_id: the node that runs it now.
+    :param replica_id: id that was created with the data folder.
+    :param node_id: the node that runs the replica now.
     """
 
     replica_id: str
@@ -39,9 +39,9 @@
 
 @dataclass(frozen=True)
 class ReplicaGroups:
-    """The replicas of a program: one group, or the old and the new in a change.
+    """The replicas of a program: one group, or the old and the new one during a change.
 
-    :param map_version: version of the shard map the groups come from.
+    :param map_version: version of the shard map that defines the groups.
     """
 
     map_version: int
@@ -58,7 +58,7 @@
 
 
 class ProposerPhase(StrEnum):
-    """Where a proposer stands."""
+    """Phase of a proposer."""
 
     PREPARING = "preparing"
     LEADING = "leading"
@@ -75,11 +75,11 @@
 
 @dataclass
 class ProgramLog:
-    """The log of one program as its owner drives it.
+    """The log of one program at its owner.
 
-    :ivar entries: everything proposed or recovered, by position.
-    :ivar chosen: length of the prefix a quorum holds under this ballot.
-    :ivar recovered: length of the log the promises returned.
+    :ivar entries: all recovered and proposed entries, by position.
+    :ivar chosen: length of the prefix known to be chosen.
+    :ivar recovered: length of the log that the promises returned.
     """
 
     program_id: str
@@ -94,7 +94,7 @@
     _lengths: dict[str, int] = field(default_factory=dict)
 
     def prepare(self) -> list[ReplicaMessage]:
-        """Return the prepare requests; sent again until a quorum promised."""
+        """Return the prepare requests for replicas that have not promised yet."""
         request = Prepare(self.program_id, self.ballot, self.groups.map_version)
         return [
             ReplicaMessage(replica.node_id, request)
@@ -103,7 +103,7 @@
         ]
 
     def handle_promise(self, promise: Promise) -> list[ReplicaMessage]:
-        """Count a promise; with a quorum of them the proposer leads."""
+        """Count a promise; a quorum of promises makes the proposer the leader."""
         if promise.ballot != self.ballot or self.phase is not ProposerPhase.PREPARING:
             return []
         self._promises[promise.replica_id] = promise
@@ -111,15 +111,15 @@
             return []
         self._merge_promises()
         self.phase = ProposerPhase.LEADING
-        # A fresh program has nothing to append again.
+        # A new program has no entries to append again.
         return self._append_from(self.chosen) if self.entries else []
 
     def _merge_promises(self) -> None:
-        """Take the log that was accepted under the highest ballot, as a whole.
+        """Adopt the log that was accepted under the highest ballot, as a whole.
 
-        A chosen entry is in it: whoever accepted a later ballot's log accepted
-        what that ballot's owner had recovered. Mixing positions of several
-        logs would put entries behind others than they were made for.
+        It contains every chosen entry, since the owner of a later ballot recovers
+        the chosen entries before it appends. Mixing positions of several logs would
+        put entries after other entries than those they were based on.
         """
         promises = self._promises.values()
         best = max(promises, key=lambda promise: (promise.accepted_ballot, len(promise.entries)))
@@ -155,7 +155,7 @@
     def handle_appended(self, answer: Appended) -> bool:
         """Count an acknowledgement.
 
-        :returns: whether the chosen prefix grew.
+        :returns: whether the chosen prefix has grown.
         """
         if answer.ballot != self.ballot or self.phase is not ProposerPhase.LEADING:
             return False
@@ -168,7 +168,7 @@
         return True
 
     def _quorum_length(self) -> int:
-        """Return the longest length that a quorum holds under this ballot."""
+        """Return the length of the longest prefix that a quorum holds under this ballot."""
         for length in sorted(set(self._lengths.values()), reverse=True):
             holders = {replica for replica, held in self._lengths.items() if held >= length}
             if self.groups.is_quorum(holders):
@@ -176,13 +176,13 @@
         return 0
 
     def handle_behind(self, answer: ReplicaBehind, node_id: str) -> list[ReplicaMessage]:
-        """Resend to a replica what it lacks."""
+        """Return the entries that a replica lacks."""
         if answer.ballot != self.ballot or self.phase is not ProposerPhase.LEADING:
             return []
         return [ReplicaMessage(node_id, self._append_request(answer.length))]
 
     def handle_refused(self, answer: BallotRefused) -> bool:
-        """Note a refusal.
+        """Handle a refusal of the ballot.
 
         :returns: whether this proposer has just been deposed.
         """
@@ -193,7 +193,7 @@
         return True
 
     def retransmit(self) -> list[ReplicaMessage]:
-        """Return what to send again after a silence."""
+        """Return the messages to resend when no answer has arrived in time."""
         if self.phase is ProposerPhase.PREPARING:
             return self.prepare()
         if self.phase is ProposerPhase.DEPOSED or self.settled():
@@ -205,16 +205,16 @@
         ]
 
     def settled(self) -> bool:
-        """Return whether everything proposed is chosen."""
+        """Return whether all proposed entries are chosen."""
         return self.phase is ProposerPhase.LEADING and self.chosen == len(self.entries)
 
     def is_replicated(self) -> bool:
-        """Return whether a quorum of the present groups is known to hold the whole log."""
+        """Return whether a quorum of the current groups is known to hold the whole log."""
         leads = self.phase is ProposerPhase.LEADING
         return leads and self._quorum_length() >= len(self.entries)
 
     def replicate_again(self) -> list[ReplicaMessage]:
-        """Return the whole log for every replica that may lack some of it."""
+        """Return the whole log for every replica that may lack entries."""
         if self.phase is not ProposerPhase.LEADING:
             return []
         return [
@@ -224,10 +224,10 @@
         ]
 
     def change_groups(self, groups: ReplicaGroups) -> list[ReplicaMessage]:
-        """Use a newer shard map.
+        """Use the replica groups of a newer shard map.
 
-        The whole log goes to the replicas of the new groups, and nothing more
-        is chosen until the new quorums hold it.
+        The whole log is sent to the replicas of the new groups, and no further
+        entry is chosen until the new quorums hold it.
         """
         self.groups = groups
         if self.phase is ProposerPhase.PREPARING:
--- a/yarrowwall/standalone/core/membership/__init__.py
+++ b/yarrowwall/standalone/core/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which nodes are alive, learnt by gossip."""
+"""Membership of nodes, distributed by gossip."""
--- a/yarrowwall/standalone/core/membership/table.py
+++ b/yarrowwall/standalone/core/membership/table.py
@@ -1,9 +1,9 @@
 """Member table and gossip.
 
-Within a zone every node learns of every other. Between zones only a few
-contacts a zone are known, so that no node's table grows with the whole fleet.
-A member is dead once its heartbeat has not risen for some time on the
-observer's own clock; clocks are never compared.
+Within a zone every node knows every other node. Of other zones a node knows only
+a few contacts each, so that its table does not grow with the whole fleet.
+A member counts as dead if its heartbeat has not risen for some time on the
+observer's own clock; clocks of different nodes are never compared.
 """
 
 from collections.abc import Iterable
@@ -13,16 +13,16 @@
 from yarrowwall.messages.peers import MemberRecord, MemberStatus
 from yarrowwall.standalone.core.identifiers import home_zone
 
-#: Peers of the own zone that one gossip round is sent to.
+#: Number of peers in the own zone that get gossip in one round.
 GOSSIP_FANOUT = 2
-#: Nodes of a zone that other zones know.
+#: Number of nodes of a zone that other zones know.
 CONTACTS_PER_ZONE = 3
-#: Other zones whose contacts one gossip message within a zone carries.
+#: Number of other zones whose contacts a gossip message within a zone contains.
 ZONES_PER_ROUND = 4
-#: A silent member is tried every so many rounds.
+#: Number of rounds between attempts to reach a silent member.
 ROUNDS_PER_SILENT_PROBE = 4
-#: Silence of another zone's contact before it counts as dead, as a multiple of
-#: the limit within the zone: its heartbeats take more hops.
+#: Factor on the timeout for contacts of other zones, since their heartbeats take
+#: more hops.
 REMOTE_TIMEOUT_FACTOR = 3.0
 
 
@@ -33,11 +33,11 @@
 
 
 class MemberTable:
-    """All members this node knows.
+    """All members that this node knows.
 
     :param own: this node's record.
     :param seeds: nodes named by the settings; they count as live at first.
-    :param dead_after: silence after which a member is dead, seconds.
+    :param dead_after: seconds without a new heartbeat after which a member counts as dead.
     """
 
     def __init__(
@@ -56,16 +56,16 @@
         return self._own
 
     def set_status(self, status: MemberStatus) -> None:
-        """Announce another status of this node."""
+        """Set this node's status, which gossip announces."""
         self._own = replace(self._own, status=status)
 
     def begin_round(self) -> None:
-        """Raise the own heartbeat."""
+        """Start a gossip round: increment this node's heartbeat."""
         self._round += 1
         self._own = replace(self._own, heartbeat=self._own.heartbeat + 1)
 
     def merge(self, records: Iterable[MemberRecord], now: float) -> None:
-        """Take what another node knows."""
+        """Merge the records of another node that are newer than the known ones."""
         for record in records:
             if record.node_id == self._own.node_id:
                 continue
@@ -84,7 +84,7 @@
         return now - member.heard_at < timeout
 
     def forget_dead(self, now: float) -> None:
-        """Drop members that have been dead for long; seeds come back by gossip."""
+        """Drop members that have been dead for long; seeds never heard from stay."""
         limit = 100 * self._dead_after
         for node_id, member in list(self._members.items()):
             if now - member.heard_at > limit and member.record.incarnation > 0:
@@ -104,15 +104,15 @@
         return names
 
     def zones(self) -> list[str]:
-        """Return every zone heard of."""
+        """Return all known zones, sorted."""
         zones = {member.record.zone for member in self._members.values()}
         return sorted(zones | {self._own.zone})
 
     def owner_of(self, program_id: str, now: float) -> str | None:
-        """Return the node that owns a program, as far as this node can see.
+        """Return the node that owns a program according to this node's table.
 
-        The home zone's nodes come first; without any, the other zones follow
-        in rendezvous order.
+        The owner is a live node of the home zone; if there is none, of the first
+        other zone in rendezvous order that has one.
         """
         home = home_zone(program_id)
         others = [zone for zone in rank(program_id, self.zones()) if zone != home]
@@ -130,19 +130,19 @@
         return member.record.address if member else None
 
     def records(self) -> list[MemberRecord]:
-        """Return every record known, this node's first."""
+        """Return all known records, this node's first."""
         return [self._own, *(member.record for member in self._members.values())]
 
     def contacts(self, zone: str, now: float) -> list[str]:
-        """Return the nodes of a zone that speak for it to other zones."""
+        """Return the nodes of a zone that exchange gossip with other zones."""
         return rank(f"contact/{zone}", self.live(zone, now))[:CONTACTS_PER_ZONE]
 
     def gossip_targets(self, now: float) -> list[str]:
-        """Return the peers of this round.
+        """Return the peers that get gossip in this round.
 
-        Some are of the zone; a zone's contacts also speak to another zone's.
-        Now and then a silent member is tried, so two halves of a healed cut
-        find each other again.
+        Most are in this zone; a contact also sends to a contact of another zone.
+        Every few rounds a silent member is included, so that both sides of a
+        network partition find each other after it has healed.
         """
         salt = f"{self._own.node_id}/{self._round}"
         local_peers = [name for name in self.live(self._own.zone, now) if name != self._own.node_id]
@@ -164,11 +164,11 @@
         return not self._is_alive(member, now)
 
     def records_for(self, zone: str, now: float) -> list[MemberRecord]:
-        """Return what a gossip message to a zone carries: live records only.
+        """Return the records for a gossip message to a zone, which are those of live members.
 
-        Within the zone that is the whole zone, and the contacts of some other
-        zones, a different part of them every round; to another zone it is the
-        own zone's contacts.
+        A message within the zone contains all of its members and the contacts of
+        some other zones, which vary by round. A message to another zone contains
+        this node and the contacts of its zone.
         """
         names = {self._own.node_id, *self.contacts(self._own.zone, now)}
         if zone == self._own.zone:
@@ -179,7 +179,7 @@
         return [record for record in self.records() if record.node_id in names]
 
     def _alive_names(self, zone: str, now: float) -> list[str]:
-        """Return the zone's members that are alive, leaving ones included."""
+        """Return the zone's members that are alive, including those that are leaving."""
         return [
             node_id
             for node_id, member in self._members.items()
--- a/yarrowwall/standalone/core/program/__init__.py
+++ b/yarrowwall/standalone/core/program/__init__.py
@@ -1,1 +1,1 @@
-"""Programs: their state, and the owner that runs their calls."""
+"""State of programs, and the owner that runs their calls."""
--- a/yarrowwall/standalone/core/program/attempts.py
+++ b/yarrowwall/standalone/core/program/attempts.py
@@ -1,4 +1,4 @@
-"""Running a call: placement, dispatch, resuming, and the outcome of attempts."""
+"""Runs a call: placement, dispatch, resumption and the outcome of its attempts."""
 
 from yarrowwall.messages.entries import (
     AttemptLost,
@@ -35,12 +35,12 @@
 )
 from yarrowwall.standalone.core.scheduling.types import Placement, WaitingCall
 
-#: Timer key of the next try to resume a broken stream.
+#: Timer key of the next attempt to resume a broken stream.
 RESUME = "resume"
 
 
 class AttemptRunner(ProgramLifecycle):
-    """Runs the one call that is in progress."""
+    """Runs a program's current call; a program has at most one in progress."""
 
     def _accepted_entry(self, now: float, request: SubmitCall) -> CallAccepted:
         return CallAccepted(
@@ -86,7 +86,7 @@
     def place(self, now: float, placement: Placement) -> AttemptKey:
         """Run the waiting call on an engine: journal the dispatch, then send it.
 
-        :returns: the attempt it became.
+        :returns: key of the new attempt.
         """
         number = placement.call.call_number
         self._is_queued = False
@@ -113,11 +113,11 @@
         return key
 
     def start_after_dispatch(self, now: float, effect: StartAttempt) -> None:
-        """Send an attempt to its engine, once its dispatch is chosen and not too late."""
+        """Send an attempt to its engine when its dispatch is chosen, unless that takes too long."""
         self.after_chosen(effect, now + self._limits.dispatch_validity)
 
     def _entries_before_dispatch(self, now: float, number: int) -> list[Entry]:
-        """Return the entries that bring a waiting request into the log."""
+        """Return the entries that record a waiting request before its first dispatch."""
         if self._waiting is None:
             return []
         request = self._waiting.request
@@ -145,7 +145,7 @@
         )
 
     def _resume_attempt(self, now: float, call: CallState) -> None:
-        """Ask the engine for the stream of an attempt that was sent, or may have been."""
+        """Ask the engine for the stream of an attempt that may have been sent to it."""
         key = AttemptKey(self.program_id, call.accepted.call_number, call.attempt)
         if self._attempt is None or self._attempt.key != key:
             self._attempt = RunningAttempt(key, self._limits.resume_attempts)
@@ -157,7 +157,7 @@
             self._resume_attempt(now, call)
 
     def handle_completed(self, now: float, event: EngineCompleted) -> None:
-        """Journal the whole answer, then give it to every waiting caller."""
+        """Journal the complete answer, then send it to every waiting caller."""
         call = self._call_of(event.key)
         if call is None:
             return
@@ -184,7 +184,7 @@
         self._advance(now)
 
     def handle_failed(self, now: float, event: EngineFailed) -> None:
-        """Resume, place anew, or record that the outcome is unknown."""
+        """Resume the stream, place the call again, or record that its outcome is unknown."""
         call = self._call_of(event.key)
         if call is None or self._attempt is None:
             return
@@ -225,7 +225,7 @@
             self._advance(now)
 
     def _call_of(self, key: AttemptKey) -> CallState | None:
-        """Return the call whose latest attempt an engine event is about."""
+        """Return the call of an attempt; None unless that is its latest one and still running."""
         if not self.is_leading():
             return None
         call = self.state.calls.get(key.call_number)
@@ -233,7 +233,7 @@
         return call if current and call.status is CallStatus.DISPATCHED else None  # type: ignore[union-attr]
 
     def _advance(self, now: float) -> None:
-        """Admit the call that waited for the one that has just been settled."""
+        """Admit requests for the next call after the current one has been settled."""
         last = self.state.calls[len(self.state.calls)]
         if is_single_call(self.program_id):
             self._end(now, None, EndReason.SINGLE_CALL)
@@ -246,5 +246,5 @@
             self._admit_request(now, waiting)
 
     def _admit_request(self, now: float, pending: PendingRequest) -> None:
-        """Take up a request whose turn has come; the owner knows how."""
+        """Process a request whose predecessors are settled; implemented by the owner."""
         raise NotImplementedError
--- a/yarrowwall/standalone/core/program/cache_release.py
+++ b/yarrowwall/standalone/core/program/cache_release.py
@@ -1,4 +1,4 @@
-"""What engines hold for a program, and its release."""
+"""Releases the prompt caches that engines hold for a program."""
 
 from yarrowwall.messages.entries import (
     CacheReleased,
@@ -8,17 +8,17 @@
 )
 from yarrowwall.standalone.core.program.requests import ProgramRequests
 
-#: ``through_call`` of a release that ends a program.
+#: Value of ``through_call`` that releases all calls, used when a program ends.
 ALL_CALLS = 2**31 - 1
-#: Timer key of the next look whether everything is released.
+#: Timer key of the next check whether all caches are released.
 RELEASE = "release"
 
 
 class CacheReleaser(ProgramRequests):
-    """Releases the cache of engines the program has left, or of all when it ends."""
+    """Releases caches on engines that a program no longer uses; all of them when it ends."""
 
     def _release_moved(self, now: float, number: int, engine_id: str) -> None:
-        """Release what engines hold of which the program has moved away."""
+        """Release caches on every engine except the one that now runs the call."""
         for held_id, address in list(self.state.held_engines.items()):
             if held_id != engine_id:
                 effect = ReleaseCache(self.program_id, held_id, address, number - 1)
@@ -26,14 +26,14 @@
                 self.timers.set(RELEASE, now + self._limits.resume_interval)
 
     def _release_all(self, now: float) -> None:
-        """Release everything; repeated until every engine confirmed."""
+        """Release the caches on all engines; repeated until every engine has confirmed."""
         for engine_id, address in list(self.state.held_engines.items()):
             effect = ReleaseCache(self.program_id, engine_id, address, ALL_CALLS)
             self.after_chosen(effect)
             self.timers.set(RELEASE, now + 2 * self._limits.resume_interval)
 
     def handle_released(self, now: float, engine_id: str) -> None:
-        """Journal an engine's confirmation, unless the program is back on that engine."""
+        """Journal an engine's confirmation, unless the program uses that engine again."""
         if not self.is_leading() or engine_id not in self.state.held_engines:
             return
         call = self.state.calls.get(len(self.state.calls))
--- a/yarrowwall/standalone/core/program/journaled.py
+++ b/yarrowwall/standalone/core/program/journaled.py
@@ -1,8 +1,8 @@
-"""A program whose log this node drives: recovery, proposals, deferred effects.
+"""A program whose log this node writes: recovery, proposals, deferred effects.
 
 An effect that depends on an entry waits until a quorum holds that entry. A
-node that was paused and has lost its ballot therefore never acts on entries of
-its own that nobody else will see.
+node that was paused and has been deposed therefore never acts on its own
+entries that were not chosen.
 """
 
 import math
@@ -32,7 +32,7 @@
 from yarrowwall.standalone.core.program.state import ProgramState
 from yarrowwall.standalone.core.timers import Timers
 
-#: Timer key of the retransmission of journal messages.
+#: Timer key of the next retransmission of journal messages.
 RETRANSMIT = "retransmit"
 
 
@@ -46,8 +46,8 @@
 class JournaledProgram:
     """One program's log and state at its owner.
 
-    :ivar state: folded from everything proposed, chosen or not; only this
-        owner proposes, so it knows what will be chosen if it stays the owner.
+    :ivar state: result of all proposed entries, chosen or not. Only this owner
+        proposes, so all of them will be chosen if it stays the owner.
     """
 
     def __init__(
@@ -68,16 +68,16 @@
         self._copy_requests: dict[str, int] = {}
 
     def start(self, now: float) -> None:
-        """Begin to take over the log."""
+        """Start taking over the log by preparing the ballot."""
         self._send(self.log.prepare())
         self._plan_retransmission(now)
 
     def is_leading(self) -> bool:
-        """Return whether this node may append."""
+        """Return whether this owner may append to the log."""
         return self.log.phase is ProposerPhase.LEADING
 
     def handle_promise(self, now: float, promise: Promise) -> None:
-        """Count a promise; recover once there is a quorum."""
+        """Count a promise; recover the state once a quorum has promised."""
         was_leading = self.is_leading()
         self._send(self.log.handle_promise(promise))
         if self.is_leading() and not was_leading:
@@ -87,19 +87,19 @@
             self.recovered(now)
 
     def recovered(self, now: float) -> None:
-        """Go on from the recovered state; for subclasses."""
+        """Continue from the recovered state; a hook for subclasses."""
 
     def propose(self, now: float, entries: list[Entry]) -> None:
-        """Append entries to the log and fold them."""
+        """Append entries to the log and apply them to the state."""
         for entry in entries:
             self.state.apply(entry)
         self._send(self.log.append([encode(entry) for entry in entries]))
         self._plan_retransmission(now)
 
     def after_chosen(self, effect: Effect, valid_until: float = math.inf) -> None:
-        """Emit an effect as soon as everything proposed so far is chosen.
+        """Emit an effect as soon as all entries proposed so far are chosen.
 
-        :param valid_until: the effect must not be emitted later than this.
+        :param valid_until: time after which the effect must not be emitted.
         """
         position = len(self.log.entries)
         if self.log.chosen >= position:
@@ -108,11 +108,11 @@
             self._deferred.append(_Deferred(position, effect, valid_until))
 
     def handle_appended(self, now: float, answer: Appended) -> bool:
-        """Count an acknowledgement and emit what waited for it.
+        """Count an acknowledgement and emit the effects that waited for it.
 
-        :returns: False if an effect came too late to be emitted: this node was
-            paused, the program may have another owner, and it must be taken
-            over anew before anything more is done.
+        :returns: False if an effect expired before it could be emitted: this node
+            was paused and the program may have another owner, so the program must
+            be taken over again first.
         """
         if not self.log.handle_appended(answer):
             self._answer_copy_requests()
@@ -127,11 +127,11 @@
         return True
 
     def handle_behind(self, answer: ReplicaBehind, node_id: str) -> None:
-        """Resend what a replica lacks."""
+        """Resend the entries that a replica lacks."""
         self._send(self.log.handle_behind(answer, node_id))
 
     def handle_refused(self, answer: BallotRefused) -> bool:
-        """Note a refusal.
+        """Handle a refusal of this owner's ballot.
 
         :returns: whether this owner has just been deposed.
         """
@@ -141,14 +141,14 @@
         return True
 
     def copy(self, now: float, map_version: int, requester: str) -> None:
-        """Tell a replica once the log is on the replicas of a shard map."""
+        """Notify a replica once the replicas of a shard map hold the log."""
         self._copy_requests[requester] = map_version
         if not self._answer_copy_requests():
             self._send(self.log.replicate_again())
             self._plan_retransmission(now)
 
     def _answer_copy_requests(self) -> bool:
-        """Answer those whose map this owner uses; return whether none is left."""
+        """Answer the requests that are fulfilled; return whether none remains."""
         if self._copy_requests and self.log.is_replicated():
             version = self.log.groups.map_version
             for requester, wanted in list(self._copy_requests.items()):
@@ -159,12 +159,12 @@
         return not self._copy_requests
 
     def change_groups(self, now: float, groups: ReplicaGroups) -> None:
-        """Use a newer shard map."""
+        """Use the replica groups of a newer shard map."""
         self._send(self.log.change_groups(groups))
         self._plan_retransmission(now)
 
     def retransmit(self, now: float) -> None:
-        """Send again what was not acknowledged."""
+        """Resend the messages that were not acknowledged."""
         messages = self.log.retransmit()
         if not messages and not self._answer_copy_requests():
             messages = self.log.replicate_again()
@@ -173,7 +173,7 @@
             self._plan_retransmission(now)
 
     def _plan_retransmission(self, now: float) -> None:
-        """Plan one unless it is planned: what comes often must not put it off for ever."""
+        """Set the timer unless it is set; frequent calls must not postpone it forever."""
         if RETRANSMIT not in self.timers:
             self.timers.set(RETRANSMIT, now + self._limits.retransmit)
 
--- a/yarrowwall/standalone/core/program/lifecycle.py
+++ b/yarrowwall/standalone/core/program/lifecycle.py
@@ -1,4 +1,4 @@
-"""Opening and ending a program, and its budget between parent and children."""
+"""Opens and ends a program, and shares its budget between parent and children."""
 
 from yarrowwall.messages.entries import (
     AttemptLost,
@@ -31,14 +31,14 @@
     CallStatus,
 )
 
-#: Timer key of the next look whether the family is settled.
+#: Timer key of the next check whether parent and children are settled.
 SETTLE = "settle"
-#: Seconds between looks whether the end of a program is chosen.
+#: Seconds between checks whether the end of a program is chosen.
 SETTLE_POLL = 0.02
 
 
 class ProgramLifecycle(CacheReleaser):
-    """Draws the budget from the parent, gives budgets to children, ends with them."""
+    """Reserves budget at the parent and for children; ends the children with the program."""
 
     def _open(self, now: float, pending: PendingRequest, request: OpenProgram) -> None:
         if self.state.opened is not None:
@@ -60,7 +60,7 @@
         )
 
     def handle_owner_reply(self, now: float, request: Request, reply: Reply) -> None:
-        """Take the reply of the parent's or a child's owner to ``ask_owner``."""
+        """Handle the reply of the parent's or a child's owner to ``ask_owner``."""
         if not self.is_leading():
             return
         match request:
@@ -113,7 +113,7 @@
             self._reply(pending, self._summary())
 
     def _end_now(self, now: float, reason: EndReason) -> None:
-        """End the program; a call in progress is cancelled, its outcome unknown."""
+        """End the program; cancel a call in progress, whose outcome stays unknown."""
         call = self.state.unsettled_call()
         number = len(self.state.calls)
         entries: list[Entry] = []
@@ -141,8 +141,8 @@
     def _settle_family(self, now: float) -> None:
         """Settle the budget with the parent and end the children.
 
-        Others act on what they are asked, so nothing is asked before the end
-        is chosen: an owner that was deposed meanwhile has not ended anything.
+        Other owners act on these requests at once, so none is sent before the
+        end is chosen: if this owner has been deposed, the program has not ended.
         """
         opened = self.state.opened
         parent = opened.parent_program_id if opened is not None else None
--- a/yarrowwall/standalone/core/program/owner.py
+++ b/yarrowwall/standalone/core/program/owner.py
@@ -1,4 +1,4 @@
-"""The owner of a program: takes its requests and keeps its calls in order."""
+"""The owner of a program: handles its requests and runs its calls in order."""
 
 from yarrowwall.messages.entries import (
     EndReason,
@@ -41,11 +41,11 @@
 class ProgramOwner(AttemptRunner):
     """Runs one program.
 
-    Requests that come while the log is being recovered wait until it leads.
+    Requests that arrive while the log is being recovered wait until this owner leads.
     """
 
     def handle_request(self, now: float, route: StreamRoute, request: Request) -> None:
-        """Take a request; its reply may come much later."""
+        """Handle a request; the reply follows as an effect, possibly much later."""
         if route.request_id in self.pending:
             return
         pending = PendingRequest(route, request)
@@ -54,7 +54,7 @@
             self._admit_request(now, pending)
 
     def recovered(self, now: float) -> None:
-        """Take up what the log says is in progress, then the waiting requests."""
+        """Continue the work in progress according to the log, then admit the waiting requests."""
         self._reset_timers(now)
         call = self.state.unsettled_call()
         if call is not None and call.status is CallStatus.DISPATCHED:
@@ -101,7 +101,7 @@
             self._admit(now, pending, request)
 
     def _join(self, pending: PendingRequest, request: SubmitCall, call: CallState) -> None:
-        """Answer a repeated call number from the record, or wait for its outcome."""
+        """Answer a repeated call number from the log, or wait for the call's outcome."""
         if call.accepted.digest != request_digest(request):
             message = f"call {request.call_number} was made with another body"
             self._reply(pending, ErrorReply(ErrorType.CALL_CONFLICT, message, 0.0))
@@ -115,7 +115,7 @@
                 self.after_chosen(AttachStream(self._attempt.key, pending.route))
 
     def _admit(self, now: float, pending: PendingRequest, request: SubmitCall) -> None:
-        """Queue the next call; a later one waits for the earlier ones."""
+        """Queue the next call; a later call waits for the earlier ones."""
         is_next = request.call_number == self.state.next_call_number()
         if not is_next or self.state.unsettled_call() is not None:
             self._wait_for_order(now, pending, request)
@@ -159,7 +159,7 @@
             self.timers.set(_IDLE, self.state.last_activity + self._limits.idle_limit)
 
     def handle_time(self, now: float) -> None:
-        """Carry out what is due."""
+        """Handle the deadlines that have passed."""
         for key in self.timers.due(now):
             self._handle_deadline(now, key)
 
@@ -194,12 +194,12 @@
             self.timers.set(_IDLE, now + self._limits.idle_limit)
 
     def is_quiet(self) -> bool:
-        """Return whether nothing runs here and everything proposed is chosen."""
+        """Return whether no call runs, no request waits and all proposed entries are chosen."""
         runs = self._attempt is not None or self._is_queued
         return self.log.settled() and not runs and not self.pending
 
     def may_unload(self, now: float) -> bool:
-        """Return whether dropping this owner from memory loses nothing."""
+        """Return whether this owner can be dropped from memory without losing work."""
         if not self.is_quiet() or self.state.unsettled_call() is not None:
             return False
         if self.state.ended is not None:
--- a/yarrowwall/standalone/core/program/prompts.py
+++ b/yarrowwall/standalone/core/program/prompts.py
@@ -1,4 +1,4 @@
-"""What identifies a request, and the blocks of a prompt."""
+"""Digests of requests, and prefix blocks of prompts."""
 
 from yarrowwall.hashing import PrefixBlock, chain, digest
 from yarrowwall.messages.entries import (
@@ -13,7 +13,7 @@
 
 
 def request_digest(request: SubmitCall) -> str:
-    """Return a digest of what makes two requests of one call the same."""
+    """Return a digest that is equal for equal requests of one call."""
     parts = [request.model, str(request.max_tokens), str(request.repeatable)]
     for message in request.messages:
         parts += [message.role, message.content]
@@ -21,7 +21,7 @@
 
 
 def prompt_blocks(messages: list[ChatMessage]) -> tuple[PrefixBlock, ...]:
-    """Return the prefix blocks of a prompt, one a message."""
+    """Return the prefix blocks of a prompt, one per message."""
     contents = [
         (digest(message.role, message.content), count_message_tokens([message]))
         for message in messages
--- a/yarrowwall/standalone/core/program/registry.py
+++ b/yarrowwall/standalone/core/program/registry.py
@@ -1,4 +1,4 @@
-"""The programs this node owns, and the ballots it takes for them."""
+"""The programs that this node owns, and its ballots for them."""
 
 from collections.abc import Callable
 
@@ -28,14 +28,14 @@
 from yarrowwall.standalone.core.scheduling.types import Placement
 from yarrowwall.standalone.core.timers import Timers
 
-#: How many lost ballots are remembered; a forgotten one costs a round trip.
+#: Number of programs whose last ballot counter is kept; a missing one costs a round trip.
 KEPT_BALLOTS = 10_000
 
 
 class OwnerRegistry:
     """All program owners of one node.
 
-    :param holder: this node and incarnation, as ballots name it.
+    :param holder: this node and its incarnation, as written in ballots.
     :param groups_of: returns the replica groups of a program.
     :param ask: sends a request to another program's owner.
     """
@@ -74,7 +74,7 @@
         return self._owners.get(program_id)
 
     def load(self, now: float, program_id: str) -> ProgramOwner:
-        """Return the owner of a program; takes the program over if need be."""
+        """Return the owner of a program; take the program over if it is not loaded."""
         self._now = now
         owner = self._owners.get(program_id)
         return owner if owner is not None else self._take_over(now, program_id)
@@ -89,7 +89,7 @@
         return owner
 
     def handle_request(self, now: float, route: StreamRoute, request: Request) -> None:
-        """Hand a request to its program's owner."""
+        """Pass a request to its program's owner."""
         owner = self.load(now, request.program_id)
         owner.handle_request(now, route, request)
         self._schedule(owner)
@@ -97,7 +97,7 @@
     def handle_owner_reply(
         self, now: float, program_id: str, request: Request, reply: Reply
     ) -> None:
-        """Hand the reply of another program's owner to the program that asked."""
+        """Pass the reply of another program's owner to the program that asked."""
         self._with_owner(
             now, program_id, lambda owner: owner.handle_owner_reply(now, request, reply)
         )
@@ -115,11 +115,11 @@
     # Journal
 
     def handle_promise(self, now: float, message: Promise) -> None:
-        """Hand a promise to its owner."""
+        """Pass a promise to the program's owner."""
         self._with_owner(now, message.program_id, lambda owner: owner.handle_promise(now, message))
 
     def handle_appended(self, now: float, message: Appended) -> None:
-        """Hand an acknowledgement to its owner; take the program over anew if it came too late."""
+        """Pass an acknowledgement to the owner; take the program over again if it was too late."""
         owner = self._owners.get(message.program_id)
         if owner is None:
             return
@@ -130,19 +130,19 @@
             self._restart(now, owner)
 
     def handle_behind(self, now: float, sender: str, message: ReplicaBehind) -> None:
-        """Resend to a replica what it lacks."""
+        """Resend the entries that a replica lacks."""
         self._with_owner(
             now, message.program_id, lambda owner: owner.handle_behind(message, sender)
         )
 
     def handle_refused(self, now: float, message: BallotRefused) -> list[PendingRequest]:
-        """Drop an owner that has lost its ballot, or take a higher one.
+        """Drop an owner whose ballot was refused, or retry with a higher ballot.
 
-        A new owner starts low and learns the height from its first refusal. Any
-        other refusal means that another node owns the program: two nodes whose
-        views differ must not depose each other for ever, so the loser yields.
+        A new owner starts with a low ballot and learns the current one from its
+        first refusal. After any other refusal it gives the program up: otherwise
+        two nodes with different member tables would depose each other forever.
 
-        :returns: the dropped owner's requests, to be sent to the winner.
+        :returns: the dropped owner's requests, to be sent to the new owner.
         """
         owner = self._owners.get(message.program_id)
         if owner is None:
@@ -159,7 +159,7 @@
         return list(owner.pending.values())
 
     def _restart(self, now: float, owner: ProgramOwner) -> None:
-        """Take a program over anew, under a higher ballot than any seen."""
+        """Take a program over again, with a higher ballot than any seen."""
         self._drop(owner)
         highest = max(owner.log.ballot, owner.log.highest_seen)
         self._keep_ballot(owner.program_id, highest.counter)
@@ -179,13 +179,13 @@
         self._timers.cancel(owner.program_id)
 
     def copy(self, now: float, sender: str, message: CopyProgram) -> None:
-        """Bring a program's log to the replicas of a newer shard map."""
+        """Copy a program's log to the replicas of a newer shard map."""
         owner = self.load(now, message.program_id)
         owner.copy(now, message.map_version, sender)
         self._schedule(owner)
 
     def change_groups(self, now: float) -> None:
-        """Use a newer shard map for every program."""
+        """Apply a newer shard map to every program."""
         for owner in list(self._owners.values()):
             owner.change_groups(now, self._groups_of(owner.program_id))
             self._schedule(owner)
@@ -193,7 +193,7 @@
     # Engines
 
     def place(self, now: float, placement: Placement) -> None:
-        """Run a placed call."""
+        """Run a call on the engine that the scheduler chose."""
         owner = self._owners.get(placement.call.program_id)
         if owner is None or not owner.is_leading():
             return
@@ -203,11 +203,11 @@
         self._schedule(owner)
 
     def handle_completed(self, now: float, event: EngineCompleted) -> None:
-        """Hand an engine's answer to its owner."""
+        """Pass an engine's answer to the program's owner."""
         self._with_attempt(now, event.key, lambda owner: owner.handle_completed(now, event))
 
     def handle_failed(self, now: float, event: EngineFailed) -> None:
-        """Hand an engine's failure to its owner."""
+        """Pass an engine's failure to the program's owner."""
         self._with_attempt(now, event.key, lambda owner: owner.handle_failed(now, event))
 
     def _with_attempt(
@@ -219,7 +219,7 @@
             self._scheduler.attempt_ended(key, EngineFault.UNKNOWN_REQUEST, now)
 
     def handle_released(self, now: float, event: EngineReleased) -> None:
-        """Hand an engine's confirmation to the owner."""
+        """Pass an engine's confirmation of a release to the program's owner."""
         self._with_owner(
             now, event.program_id, lambda owner: owner.handle_released(now, event.engine_id)
         )
@@ -240,7 +240,7 @@
         return self._timers.next_deadline()
 
     def handle_time(self, now: float) -> None:
-        """Run what is due; unload programs that need no owner in memory."""
+        """Handle passed deadlines; unload programs that need no owner in memory."""
         self._now = now
         for program_id in self._timers.due(now):
             owner = self._owners[program_id]
@@ -252,13 +252,13 @@
                 self._schedule(owner)
 
     def is_idle(self) -> bool:
-        """Return whether nothing runs and nothing waits to be acknowledged."""
+        """Return whether no program has running calls, pending requests or unchosen entries."""
         return all(owner.is_quiet() for owner in self._owners.values())
 
     def validate_state(self) -> None:
-        """Check every program's state; for tests.
+        """Check the invariants of every program's state; for tests.
 
-        :raises InvariantError: if one does not hold.
+        :raises InvariantError: if one is violated.
         """
         for owner in self._owners.values():
             owner.state.validate_state()
--- a/yarrowwall/standalone/core/program/requests.py
+++ b/yarrowwall/standalone/core/program/requests.py
@@ -1,4 +1,4 @@
-"""Requests of a program: who waits for what, replies and refusals."""
+"""Open requests of a program, with their replies and refusals."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -28,11 +28,11 @@
 )
 from yarrowwall.standalone.core.scheduling.types import WaitingCall
 
-#: Seconds after which a caller may repeat a request that was refused.
+#: Seconds after which a caller may retry a refused request.
 RETRY_AFTER = 1.0
-#: Timer key of the longest wait for an engine.
+#: Timer key of the deadline of a call that waits for an engine.
 QUEUE = "queue"
-#: Prefix of the timer keys of calls that wait for earlier ones.
+#: Prefix of the timer keys of calls that wait for earlier calls.
 ORDER_PREFIX = "order/"
 
 
@@ -46,13 +46,13 @@
 
 @dataclass(frozen=True)
 class OwnerContext:
-    """What an owner uses of its node.
+    """Services of the node that a program's owner uses.
 
-    :param enqueue: hands a call to the scheduler.
-    :param withdraw: takes a waiting call back from the scheduler.
-    :param attempt_ended: tells the scheduler that an attempt left its engine.
+    :param enqueue: adds a call to the scheduler's queue.
+    :param withdraw: removes a program's waiting call from the scheduler's queue.
+    :param attempt_ended: notifies the scheduler that an attempt has ended.
     :param ask_owner: sends a request to another program's owner; the reply
-        comes back to :meth:`ProgramOwner.handle_owner_reply`.
+        arrives at :meth:`ProgramOwner.handle_owner_reply`.
     """
 
     limits: Limits
@@ -65,7 +65,7 @@
 
 @dataclass
 class RunningAttempt:
-    """Volatile state of the attempt in progress."""
+    """State of the attempt in progress that is not in the log."""
 
     key: AttemptKey
     resumes_left: int
@@ -74,7 +74,7 @@
 
 @dataclass
 class CallWaiters:
-    """Requests of one call that wait for its outcome."""
+    """Routes of the requests that wait for the outcome of one call."""
 
     routes: list[StreamRoute] = field(default_factory=list)
 
@@ -82,8 +82,8 @@
 class ProgramRequests(JournaledProgram):
     """Keeps the open requests of one program.
 
-    A request stays in ``pending`` until its final reply has been emitted; if
-    this owner is deposed the node forwards what is there to the new owner.
+    A request stays in ``pending`` until it gets its final reply. If this owner is
+    deposed, the node forwards the pending requests to the new owner.
     """
 
     def __init__(
@@ -103,7 +103,7 @@
         self._opening: PendingRequest | None = None
 
     def _reply(self, pending: PendingRequest, reply: Reply) -> None:
-        """Reply once everything proposed so far is chosen."""
+        """Reply after all entries proposed so far are chosen."""
         self.pending.pop(pending.route.request_id, None)
         self.after_chosen(self._outbox.reply_effect(pending.route, reply))
 
@@ -151,10 +151,10 @@
         message: str,
         retry_after: float,
     ) -> None:
-        """Refuse a request at once.
+        """Refuse a request.
 
-        The refusal is journalled first: a copy of the request that reaches
-        another owner later is refused there too, so "not run" stays true.
+        The refusal is journalled before the reply, so a copy of the request that
+        reaches another owner later is refused too and "not run" stays true.
         """
         request = pending.request
         assert isinstance(request, SubmitCall)
@@ -172,7 +172,7 @@
     def _refuse_waiting(
         self, now: float, error_type: ErrorType, message: str, retry_after: float
     ) -> None:
-        """Refuse the call that waits for an engine, and everybody who joined it."""
+        """Refuse the call that waits for an engine, for all requests that wait for it."""
         if self._is_queued:
             self._context.withdraw(self.program_id)
             self._is_queued = False
--- a/yarrowwall/standalone/core/program/state.py
+++ b/yarrowwall/standalone/core/program/state.py
@@ -1,4 +1,4 @@
-"""A program's state, folded from the entries of its log."""
+"""A program's state, computed by applying the entries of its log."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
@@ -21,25 +21,25 @@
 from yarrowwall.messages.requests import CallSummary, ProgramReply
 from yarrowwall.standalone.core.exceptions import InvariantError
 
-#: Bytes of text counted as one token when a budget is reserved before an
-#: engine has counted; the stand-in engines count the same way.
+#: Bytes per token, used to estimate a reservation before an engine has counted
+#: the tokens. The stand-in engines count the same way.
 BYTES_PER_TOKEN = 4
-#: Tokens every message costs besides its text (role and separators).
+#: Tokens that each message adds to its text, for the role and separators.
 TOKENS_PER_MESSAGE = 4
 
 
 def count_tokens(text: str) -> int:
-    """Return how many tokens a text is taken to have, without its message overhead."""
+    """Return the estimated number of tokens of a text, without the message overhead."""
     return -(-len(text.encode()) // BYTES_PER_TOKEN)
 
 
 def count_message_tokens(messages: list[ChatMessage]) -> int:
-    """Return how many tokens messages add to a prompt."""
+    """Return the estimated number of tokens that messages add to a prompt."""
     return sum(TOKENS_PER_MESSAGE + count_tokens(message.content) for message in messages)
 
 
 class CallStatus(StrEnum):
-    """Where a call stands."""
+    """Status of a call."""
 
     ACCEPTED = "accepted"
     DISPATCHED = "dispatched"
@@ -64,20 +64,20 @@
     finished: CallFinished | None = None
 
     def is_settled(self) -> bool:
-        """Return whether nothing more can happen to the call."""
+        """Return whether the call's outcome is final."""
         return self.status in (CallStatus.FINISHED, CallStatus.UNKNOWN)
 
 
 @dataclass
 class ProgramState:
-    """Everything the log says of one program.
-
-    :ivar spent_tokens: charged for good.
-    :ivar reserved_tokens: set aside for attempts in progress.
-    :ivar child_reservations: tokens set aside for children that have not ended.
-    :ivar settled_children: children whose budget was settled.
-    :ivar held_engines: addresses of engines that may hold cache, by engine id.
-    :ivar history: messages so far, answers included.
+    """State of one program according to its log.
+
+    :ivar spent_tokens: tokens charged permanently.
+    :ivar reserved_tokens: tokens reserved for attempts in progress.
+    :ivar child_reservations: tokens reserved for children that have not settled, by program id.
+    :ivar settled_children: program ids of children whose budget was settled.
+    :ivar held_engines: addresses of engines that may hold a cache, by engine id.
+    :ivar history: all messages, including answers.
     """
 
     program_id: str
@@ -94,7 +94,7 @@
     last_activity: float = 0.0
 
     def apply(self, entry: Entry) -> None:
-        """Fold one entry.
+        """Apply one log entry.
 
         :raises InvariantError: if the entry belongs to another program.
         """
@@ -164,7 +164,7 @@
         self.spent_tokens += call.accepted.reserved_tokens
 
     def _apply_refused(self, entry: CallRefused) -> None:
-        """Note the refusal; an accepted call that never ran leaves the history."""
+        """Record a refusal; remove an accepted call that never ran from the history."""
         self.refusals[entry.request_id] = entry
         call = self.calls.get(entry.call_number)
         if call is not None and call.status is CallStatus.ACCEPTED:
@@ -177,25 +177,25 @@
         self.spent_tokens += entry.spent_tokens
 
     def available_tokens(self) -> int:
-        """Return what may still be reserved."""
+        """Return the number of tokens that can still be reserved."""
         if self.opened is None:
             return 0
         children = sum(self.child_reservations.values())
         return self.opened.budget_tokens - self.spent_tokens - self.reserved_tokens - children
 
     def next_call_number(self) -> int:
-        """Return the number the next new call has."""
+        """Return the number of the next new call."""
         return len(self.calls) + 1
 
     def unsettled_call(self) -> CallState | None:
-        """Return the call that is accepted or dispatched; at most the last one."""
+        """Return the call that is accepted or dispatched; only the last one can be."""
         if not self.calls:
             return None
         last = self.calls[len(self.calls)]
         return None if last.is_settled() else last
 
     def is_complete(self) -> bool:
-        """Return whether the program ended and has left nothing behind."""
+        """Return whether the program ended with all caches released and children settled."""
         return self.ended is not None and not self.held_engines and not self.child_reservations
 
     def summary(self) -> ProgramReply:
@@ -217,9 +217,9 @@
         )
 
     def validate_state(self) -> None:
-        """Check what must hold after every entry; for tests.
+        """Check the invariants of the state, which hold after every entry; for tests.
 
-        :raises InvariantError: if it does not.
+        :raises InvariantError: if one is violated.
         """
         if self.available_tokens() < 0:
             raise InvariantError(f"{self.program_id} spent or reserved beyond its budget")
--- a/yarrowwall/standalone/core/scheduling/__init__.py
+++ b/yarrowwall/standalone/core/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""Which engine runs a call, and in what order calls are placed."""
+"""Choice of the engine for a call, and the order in which calls are placed."""
--- a/yarrowwall/standalone/core/scheduling/engines.py
+++ b/yarrowwall/standalone/core/scheduling/engines.py
@@ -1,4 +1,4 @@
-"""What a node knows of an engine: its reports, own calls, and a cache belief."""
+"""A node's view of an engine: load reports, own calls and a cache estimate."""
 
 from collections import OrderedDict
 from dataclasses import dataclass, field
@@ -7,23 +7,23 @@
 from yarrowwall.standalone.core.events import AttemptKey, CacheBlocksChanged, EngineLoadReported
 from yarrowwall.standalone.core.scheduling.types import EngineMachine, WaitingCall
 
-#: Most blocks remembered per engine; the least recently used go first.
+#: Limit of blocks kept per engine; the least recently used are dropped first.
 ESTIMATE_BLOCKS = 20_000
-#: Silence after which a program is not expected to come back to its engine.
+#: Seconds without a call after which a program is not expected to return to its engine.
 HOME_SECONDS = 30.0
-#: Age of a load report at which an engine gets nothing new until it reports
-#: again: it may have left since, and this node may have been paused.
+#: Age at which a load report is stale and its engine gets no new calls until it reports
+#: again: the engine may have left since, or this node may have been paused.
 REPORT_VALID_SECONDS = 2.5
-#: Seconds an engine gets nothing new after it refused or did not answer.
+#: Seconds for which an engine gets no new calls after it refused or did not answer.
 AVOID_SECONDS = 2.0
 
 
 @dataclass(frozen=True)
 class EngineProfile:
-    """Speeds used to estimate an engine's times.
+    """Speeds used to estimate the duration of work on an engine.
 
-    :param prefill_tokens_per_second: prompt tokens computed alone.
-    :param decode_seconds_per_token: of one sequence in a batch of ordinary size.
+    :param prefill_tokens_per_second: prefill speed for a single prompt.
+    :param decode_seconds_per_token: decode time of one sequence in a typical batch.
     """
 
     prefill_tokens_per_second: float = 8000.0
@@ -32,7 +32,7 @@
 
 @dataclass
 class OwnCall:
-    """A call this node has sent to an engine and that has not ended."""
+    """A call that this node has sent to an engine and that has not ended."""
 
     call: WaitingCall
     sent_at: float
@@ -40,14 +40,14 @@
 
 
 class CacheEstimate:
-    """Which prompt blocks an engine is believed to hold."""
+    """Estimate of the prompt blocks that an engine has cached."""
 
     def __init__(self) -> None:
         self._blocks: OrderedDict[str, int] = OrderedDict()
         self._sequence: int | None = None
 
     def cached_tokens(self, prompt: tuple[PrefixBlock, ...]) -> int:
-        """Return the tokens of the longest believed prefix of a prompt."""
+        """Return the number of tokens in the longest prefix of a prompt estimated as cached."""
         cached = 0
         for block in prompt:
             if block.key not in self._blocks:
@@ -56,7 +56,7 @@
         return cached
 
     def note_prompt(self, prompt: tuple[PrefixBlock, ...]) -> None:
-        """Believe that a prompt is cached, as its call was sent."""
+        """Assume that a prompt is cached, after its call was sent."""
         for block in reversed(prompt):
             self._blocks[block.key] = block.tokens
             self._blocks.move_to_end(block.key)
@@ -64,7 +64,7 @@
             self._blocks.popitem(last=False)
 
     def correct(self, event: CacheBlocksChanged) -> None:
-        """Take a late event; a gap in the sequence loses only what the events said."""
+        """Remove evicted blocks; a lost event only makes the estimate less exact."""
         if self._sequence is not None and event.sequence <= self._sequence:
             return
         self._sequence = event.sequence
@@ -72,7 +72,7 @@
             self._blocks.pop(key, None)
 
     def clear(self) -> None:
-        """Believe nothing, as after an engine's restart."""
+        """Clear the estimate, since the engine may have restarted."""
         self._blocks.clear()
         self._sequence = None
 
@@ -81,10 +81,10 @@
 class EngineView:
     """One engine as this node sees it.
 
-    :ivar own: calls of this node that the engine has.
-    :ivar ended_since_report: own calls that ended after the last report was made.
-    :ivar avoid_until: nothing new is placed here before.
-    :ivar home_of: programs whose latest call went here, and when.
+    :ivar own: calls that this node has in progress at the engine.
+    :ivar ended_at: end times of own calls that ended after the last report was made.
+    :ivar avoid_until: time before which no new call is placed here.
+    :ivar home_of: time of the latest call sent here, by program id.
     """
 
     machine: EngineMachine
@@ -96,7 +96,7 @@
     home_of: OrderedDict[str, float] = field(default_factory=OrderedDict)
 
     def is_usable(self, now: float, model: str) -> bool:
-        """Return whether a new call for a model may go here."""
+        """Return whether a new call for a model may be placed here."""
         if self.machine.leaving or now < self.avoid_until or self.report is None:
             return False
         is_fresh = now - self.report.reported_at <= REPORT_VALID_SECONDS
@@ -105,8 +105,8 @@
     def occupancy(self) -> int:
         """Return the estimated number of calls running or queued at the engine.
 
-        A report lags: own calls sent after it are added, own calls that ended
-        after it are taken off; own calls in flight are the least it can be.
+        Reports lag: own calls sent since the report are added and own calls that
+        ended since are subtracted. Own calls in flight are a lower bound.
         """
         if self.report is None:
             return len(self.own)
@@ -117,11 +117,11 @@
         return max(len(self.own), reported + sent_since - ended_since)
 
     def capacity(self) -> int:
-        """Return how many calls the engine batches."""
+        """Return the maximum number of calls in the engine's batch."""
         return self.report.capacity if self.report else 1
 
     def pending_prefill(self) -> int:
-        """Return the prompt tokens believed to wait for prefill."""
+        """Return the estimated number of prompt tokens that wait for prefill."""
         if self.report is None:
             return 0
         made_at = self.report.reported_at
@@ -129,7 +129,7 @@
         return own + self.report.queued_prompt_tokens
 
     def note_sent(self, key: AttemptKey, call: WaitingCall, now: float) -> None:
-        """Note a call that goes to the engine."""
+        """Record a call that is sent to the engine."""
         uncached = call.prompt_tokens() - self.cache_estimate.cached_tokens(call.prompt)
         self.own[key] = OwnCall(call, now, uncached)
         self.home_of[call.program_id] = now
@@ -137,18 +137,18 @@
         self.cache_estimate.note_prompt(call.prompt)
 
     def home_count(self, now: float) -> int:
-        """Return how many programs are likely to come back here."""
+        """Return the number of programs that are likely to return here."""
         while self.home_of and now - next(iter(self.home_of.values())) > HOME_SECONDS:
             self.home_of.popitem(last=False)
         return len(self.home_of)
 
     def note_ended(self, key: AttemptKey, now: float) -> None:
-        """Note that a call has left the engine."""
+        """Record that a call has ended at the engine."""
         if self.own.pop(key, None) is not None:
             self.ended_at.append(now)
 
     def note_report(self, report: EngineLoadReported) -> None:
-        """Take a load report unless a newer one is known."""
+        """Store a load report unless a newer one is known."""
         if self.report is not None and report.reported_at < self.report.reported_at:
             return
         self.report = report
--- a/yarrowwall/standalone/core/scheduling/policies.py
+++ b/yarrowwall/standalone/core/scheduling/policies.py
@@ -1,4 +1,4 @@
-"""Placement policies: the product's own, and the baselines it is measured against."""
+"""Placement policies: the cost-based one, and baselines to compare it with."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -13,40 +13,40 @@
 class Policy(Protocol):
     """Chooses an engine for one call."""
 
-    #: Whether waiting calls are ordered by priority and attained service.
+    #: Whether waiting calls are ordered by priority and by the age of their program.
     orders_calls: bool
 
     def choose(
         self, call: WaitingCall, engines: Sequence[EngineView], now: float
     ) -> EngineView | None:
-        """Return the engine for a call; None if the call is to wait.
+        """Return the engine for a call; None if the call should wait.
 
         :param engines: usable engines, by id; never empty.
         """
 
     def is_full(self, engine: EngineView) -> bool:
-        """Return whether routine calls are to wait rather than go to an engine now."""
+        """Return whether routine calls wait instead of being sent to an engine now."""
 
     def holds(self, call: WaitingCall) -> bool:
-        """Return whether the engine is to keep the call's prefix after the answer."""
+        """Return whether the engine keeps the call's prefix after the answer."""
 
 
 class Baseline:
-    """What the baselines share: first come, first served, and nothing held."""
+    """Base class of the baselines: first come, first served, no cache held."""
 
     orders_calls = False
 
     def is_full(self, engine: EngineView) -> bool:
-        """Baselines send every call at once; it queues at the engine."""
+        """Return False: baselines send every call at once, and it queues at the engine."""
         return False
 
     def holds(self, call: WaitingCall) -> bool:
-        """Baselines hold nothing."""
+        """Return False: baselines hold no cache."""
         return False
 
 
 class RoundRobin(Baseline):
-    """Baseline: the engines in turn."""
+    """Baseline: each engine in turn."""
 
     def __init__(self) -> None:
         self._count = 0
@@ -60,12 +60,12 @@
 
 
 class LeastLoaded(Baseline):
-    """Baseline: the engine with the fewest calls for its capacity."""
+    """Baseline: the engine with the fewest calls relative to its capacity."""
 
     def choose(
         self, call: WaitingCall, engines: Sequence[EngineView], now: float
     ) -> EngineView | None:
-        """Return the engine with the lowest occupancy."""
+        """Return the engine with the lowest occupancy relative to its capacity."""
         return min(engines, key=lambda engine: engine.occupancy() / engine.capacity())
 
 
@@ -82,14 +82,14 @@
 
 @dataclass(frozen=True)
 class CostWeights:
-    """What the cost of a placement is made of.
+    """Weights of the cost of a placement.
 
-    :param wasted_cache: weight of the seconds spent on computing a cached
-        prefix again, beside their share of the latency.
-    :param spill_seconds: cost of leaving the zone, in seconds.
-    :param home_seconds: cost of every program that an engine is home of already,
+    :param wasted_cache: weight of the seconds spent on recomputing a cached
+        prefix, in addition to their share of the latency.
+    :param spill_seconds: cost of using an engine in another zone, in seconds.
+    :param home_seconds: cost per program that already has the engine as its home,
         for the first call of a program, in seconds.
-    :param overcommit: calls per engine beyond its batch that are sent ahead of time.
+    :param overcommit: calls sent to an engine in advance beyond its batch.
     """
 
     wasted_cache: float = 30.0
@@ -99,12 +99,12 @@
 
 
 class CostBased:
-    """The product's policy: the engine with the lowest estimated cost.
+    """The default policy: the engine with the lowest estimated cost.
 
-    The cost is the estimated wait for a place in the batch, plus the prefill of
-    the part that is not cached, plus the weight of wasted cache. A routine call
-    whose best engine is full waits here, so that a later urgent call or
-    a call of a program with less attained service goes first.
+    The cost is the estimated wait for a batch slot, plus the prefill of the
+    uncached part of the prompt, plus the weighted cost of a wasted cache. A routine
+    call whose best engine is full stays in the scheduler's queue, so that a later
+    urgent call or a call of an older program can go first.
     """
 
     orders_calls = True
@@ -123,7 +123,7 @@
         return None if waits else best
 
     def is_full(self, engine: EngineView) -> bool:
-        """Return whether an engine has its batch and the overcommitted calls."""
+        """Return whether an engine's batch and its overcommit are used up."""
         return engine.occupancy() >= engine.capacity() + self._weights.overcommit
 
     def _cost(self, call: WaitingCall, engine: EngineView, now: float) -> float:
@@ -137,18 +137,18 @@
     def _lasting_cost(
         self, call: WaitingCall, engine: EngineView, prefill: float, now: float
     ) -> float:
-        """Return what a placement costs later.
+        """Return the cost that a placement causes for later calls.
 
-        A program's first call chooses its home: what it computes there serves
-        its later calls, but many homes make an engine crowded. Any later call
-        that goes elsewhere computes its program's history for nothing.
+        A program's first call chooses its home engine, whose cache serves the later
+        calls; an engine with many home programs becomes overloaded. A later call
+        on another engine has to recompute the program's history.
         """
         if call.call_number == 1:
             return self._weights.home_seconds * engine.home_count(now)
         return self._weights.wasted_cache * prefill
 
     def _batch_wait(self, engine: EngineView) -> float:
-        """Estimate the wait for a place in a batch that is full."""
+        """Estimate the wait for a slot in the batch."""
         excess = engine.occupancy() - engine.capacity() + 1
         if excess <= 0:
             return 0.0
@@ -156,21 +156,21 @@
         return excess * typical_call / engine.capacity()
 
     def _batch_slowdown(self, call: WaitingCall, engine: EngineView) -> float:
-        """Estimate what decoding loses in a fuller batch."""
+        """Estimate the slowdown of decoding in a fuller batch, in seconds."""
         share = min(1.0, engine.occupancy() / engine.capacity())
         return share * call.max_tokens * self._profile.decode_seconds_per_token * 0.5
 
     def holds(self, call: WaitingCall) -> bool:
-        """Hold the prefix of every program that may go on."""
+        """Return whether the program may have more calls, which reuse the prefix."""
         return not call.single
 
 
-#: Policy names of the command line.
+#: Policy names accepted on the command line.
 POLICY_NAMES = ("yarrowwall", "round-robin", "least-loaded", "sticky")
 
 
 def make_policy(name: str, zone: str, profile: EngineProfile, weights: CostWeights) -> Policy:
-    """Return the policy of a name.
+    """Return the policy with the given name.
 
     :raises ValueError: if no policy has the name.
     """
--- a/yarrowwall/standalone/core/scheduling/scheduler.py
+++ b/yarrowwall/standalone/core/scheduling/scheduler.py
@@ -1,4 +1,4 @@
-"""The queue of calls that wait for an engine, and their placement."""
+"""Queue of calls that wait for an engine, and their placement."""
 
 from dataclasses import dataclass
 
@@ -15,23 +15,23 @@
 from yarrowwall.standalone.core.scheduling.policies import Policy
 from yarrowwall.standalone.core.scheduling.types import EngineMachine, Placement, WaitingCall
 
-#: Most engines one node uses and polls; more are shared out by rendezvous hash.
+#: Limit of engines that one node uses and polls, selected by rendezvous hashing.
 ENGINES_PER_NODE = 16
 
 
 @dataclass(frozen=True)
 class SchedulerSettings:
-    """Bounds of the queue.
+    """Settings of the queue.
 
-    :param starvation_wait: a routine call that waited this long goes before
-        urgent ones, seconds; bounds starvation.
+    :param starvation_wait: seconds after which a waiting call goes first, even before
+        urgent ones, so that routine calls don't starve.
     """
 
     starvation_wait: float = 10.0
 
 
 class Scheduler:
-    """Places waiting calls on the engines this node uses."""
+    """Places waiting calls on the engines that this node uses."""
 
     def __init__(self, node_id: str, policy: Policy, settings: SchedulerSettings) -> None:
         self._node_id = node_id
@@ -45,7 +45,7 @@
     # Engines
 
     def set_machines(self, machines: list[EngineMachine]) -> None:
-        """Use the engines of a newer machine list."""
+        """Update the engines from a newer machine list."""
         ids = rank(self._node_id, [machine.engine_id for machine in machines])[:ENGINES_PER_NODE]
         chosen = {machine.engine_id: machine for machine in machines if machine.engine_id in ids}
         for engine_id in list(self._engines):
@@ -59,24 +59,24 @@
                 view.machine = machine
 
     def engines(self) -> dict[str, EngineView]:
-        """Return the engines this node uses, by id."""
+        """Return the engines that this node uses, by id."""
         return self._engines
 
     def handle_report(self, report: EngineLoadReported) -> None:
-        """Take a load report."""
+        """Record an engine's load report."""
         view = self._engines.get(report.engine_id)
         if view is not None:
             view.note_report(report)
             self._has_changed = True
 
     def handle_cache_event(self, event: CacheBlocksChanged) -> None:
-        """Correct the cache belief of an engine."""
+        """Correct the cache estimate of an engine."""
         view = self._engines.get(event.engine_id)
         if view is not None:
             view.cache_estimate.correct(event)
 
     def avoid(self, engine_id: str, now: float) -> None:
-        """Place nothing new on an engine that did not answer."""
+        """Place no new calls on an engine that did not answer, for a while."""
         view = self._engines.get(engine_id)
         if view is not None:
             view.avoid_until = now + AVOID_SECONDS
@@ -84,23 +84,24 @@
     # Calls
 
     def enqueue(self, call: WaitingCall) -> None:
-        """Add a call; a program has at most one."""
+        """Add a call to the queue; a program has at most one there."""
         self._waiting[call.program_id] = call
         self._has_changed = True
 
     def withdraw(self, program_id: str) -> None:
-        """Remove a program's waiting call."""
+        """Remove a program's waiting call, if any."""
         self._waiting.pop(program_id, None)
 
     def waiting_count(self) -> int:
-        """Return how many calls wait."""
+        """Return the number of waiting calls."""
         return len(self._waiting)
 
     def place(self, now: float) -> list[Placement]:
-        """Take those calls off the queue that an engine is to run now.
+        """Remove the calls that an engine can run now from the queue and return them.
 
-        Without news since the last time nothing can have changed, and when all
-        engines are full only urgent calls are looked at: the queue may be long.
+        The queue may be long, so it is examined only if a call, a load report or the
+        end of an attempt has arrived since the last time; if all engines are full,
+        only urgent calls are considered.
         """
         if not self._has_changed:
             return []
@@ -117,7 +118,7 @@
                 continue
             del self._waiting[call.program_id]
             placements.append(self._placement(call, engine))
-            # The next choice must see this call, before its dispatch is chosen.
+            # Counts this call for the next choice already, before its dispatch is chosen.
             provisional = AttemptKey(call.program_id, call.call_number, 0)
             engine.note_sent(provisional, call, now)
         return placements
@@ -131,7 +132,7 @@
         return sorted(self._waiting.values(), key=lambda call: self._order_key(call, now))
 
     def _order_key(self, call: WaitingCall, now: float) -> tuple[int, float, float, str]:
-        """Starving calls first, then urgent ones, then the oldest program."""
+        """Return the sort key: starving calls, then urgent ones, then those of older programs."""
         starving = now - call.enqueued_at >= self._settings.starvation_wait
         if starving:
             return (0, call.enqueued_at, 0.0, call.program_id)
@@ -148,7 +149,7 @@
         return Placement(call, engine.machine.engine_id, engine.machine.address, hold)
 
     def note_dispatched(self, key: AttemptKey, engine_id: str) -> None:
-        """Tie a placed call to the attempt it became."""
+        """Record the attempt that runs a placed call."""
         view = self._engines.get(engine_id)
         if view is None:
             return
@@ -161,7 +162,7 @@
     def attempt_ended(
         self, key: AttemptKey, outcome: EngineCompleted | EngineFault, now: float
     ) -> None:
-        """Take an attempt off its engine."""
+        """Record that an attempt has ended at its engine."""
         engine_id = self._engine_by_attempt.pop(key, None)
         view = self._engines.get(engine_id) if engine_id is not None else None
         if view is None:
--- a/yarrowwall/standalone/core/scheduling/types.py
+++ b/yarrowwall/standalone/core/scheduling/types.py
@@ -1,4 +1,4 @@
-"""What the scheduler is told and what it decides."""
+"""Inputs and decisions of the scheduler."""
 
 from dataclasses import dataclass
 
@@ -10,12 +10,11 @@
 class WaitingCall:
     """A call that waits for an engine.
 
-    :param prompt: blocks of the whole prompt, for the cache belief.
-    :param new_tokens: prompt tokens that no engine can have computed before.
-    :param attained: service the program has had so far, in tokens.
-    :param program_started_at: when the program was opened.
-    :param last_engine: engine of the program's previous call; empty at first.
-    :param excluded: engines that refused this call.
+    :param prompt: prefix blocks of the whole prompt, for the cache estimate.
+    :param attained: tokens that the program has spent so far.
+    :param program_started_at: time at which the program was opened.
+    :param last_engine: engine of the program's previous call; empty for the first.
+    :param excluded: engines on which an attempt of this call did not start or was lost.
     """
 
     program_id: str
@@ -32,7 +31,7 @@
     excluded: frozenset[str] = frozenset()
 
     def prompt_tokens(self) -> int:
-        """Return the length of the whole prompt."""
+        """Return the length of the whole prompt, in tokens."""
         return sum(block.tokens for block in self.prompt)
 
 
@@ -40,7 +39,7 @@
 class Placement:
     """The scheduler's decision for one call.
 
-    :param hold: whether the engine is to keep the prefix after the answer.
+    :param hold: whether the engine keeps the prefix in its cache after the answer.
     """
 
     call: WaitingCall
@@ -51,7 +50,7 @@
 
 @dataclass(frozen=True)
 class EngineMachine:
-    """An engine as the machine list names it."""
+    """An engine in the machine list."""
 
     engine_id: str
     zone: str
