--- a/yarrowwall/standalone/core/effects.py
+++ b/yarrowwall/standalone/core/effects.py
@@ -1,4 +1,4 @@
-"""Effects that a node asks its driver to carry out, in order."""
+"""Effects that a node returns and its driver carries out in order."""
 
 from dataclasses import dataclass
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True)
 class SendToPeer:
-    """Send a message to a node; it may be lost."""
+    """Send a message to a node; the message may be lost."""
 
     node_id: str
     message: object
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True)
 class ReplyToCaller:
-    """Give a caller of this gateway the final reply."""
+    """Send the final reply to a caller of this gateway."""
 
     request_id: str
     reply: Reply
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True)
 class StreamRoute:
-    """Where an attempt's bytes go.
+    """Destination of an attempt's stream.
 
     :param gateway: node id of the gateway that holds the caller's connection.
     """
@@ -47,10 +47,10 @@
 
 @dataclass(frozen=True)
 class StartAttempt:
-    """Send an attempt to its engine; its dispatch has been chosen.
+    """Send an attempt to its engine, after its dispatch has been chosen.
 
-    :param resume: only ask for the stream of an attempt that was sent before;
-        never start it.
+    :param resume: only request the stream of an attempt that was sent before;
+        never start the attempt.
     :param prompt: the whole history, ending with the call's messages.
     """
 
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True)
 class AttachStream:
-    """Relay an attempt's bytes to one more caller, from the first byte on."""
+    """Relay an attempt's stream to one more caller, from its first byte."""
 
     key: AttemptKey
     route: StreamRoute
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True)
 class CancelAttempt:
-    """Tell an engine to stop an attempt."""
+    """Request an engine to stop an attempt."""
 
     key: AttemptKey
     engine_address: str
@@ -84,9 +84,9 @@
 
 @dataclass(frozen=True)
 class ReleaseCache:
-    """Tell an engine to hold nothing more for a program.
+    """Request an engine to release the cache that it holds for a program.
 
-    :param through_call: a late start of this or an earlier call holds nothing either.
+    :param through_call: if this or an earlier call starts late, it holds no cache either.
     """
 
     program_id: str
@@ -97,7 +97,7 @@
 
 @dataclass(frozen=True)
 class ReadPlatform:
-    """Read an object of the platform."""
+    """Read an object from the platform's store."""
 
     operation_id: str
     name: str
@@ -107,8 +107,8 @@
 class WritePlatform:
     """Write an object if its version is the expected one.
 
-    :param operation_id: also inside the body, so a lost answer can be told
-        from a lost write.
+    :param operation_id: id that is also in the body, to tell a lost answer from a
+        lost write.
     """
 
     operation_id: str
@@ -119,14 +119,14 @@
 
 @dataclass(frozen=True)
 class WatchPlatform:
-    """Start or stop this node's watch on the platform's objects."""
+    """Start or stop watching the platform's objects on this node."""
 
     enabled: bool
 
 
 @dataclass(frozen=True)
 class PollEngine:
-    """Start or stop asking an engine for its load and cache events."""
+    """Start or stop polling an engine for its load and cache events."""
 
     engine_id: str
     engine_address: str
@@ -135,7 +135,7 @@
 
 @dataclass(frozen=True)
 class ReplyToOperator:
-    """Give an operator the answer to a command."""
+    """Send an operator the reply to a command."""
 
     request_id: str
     reply: OperatorReply
@@ -143,7 +143,7 @@
 
 @dataclass(frozen=True)
 class OrderEngine:
-    """Tell an engine which models to serve, fenced by the controller's term."""
+    """Order an engine to serve models; the controller's term is the fencing token."""
 
     engine_id: str
     engine_address: str
@@ -153,7 +153,7 @@
 
 @dataclass(frozen=True)
 class SendLookup:
-    """Ask a record server."""
+    """Send a lookup to a record server."""
 
     request: LookupRequested
     server_id: str
@@ -162,7 +162,7 @@
 
 @dataclass(frozen=True)
 class ReplyToLookup:
-    """Give a caller the answer to a lookup.
+    """Send a caller the answer to a lookup.
 
     :param body: JSON; None if the lookup was refused and did not run.
     """
@@ -175,7 +175,7 @@
 
 @dataclass(frozen=True)
 class Drained:
-    """Nothing runs here any more; the process may exit."""
+    """All work on this node is finished; the process may exit."""
 
 
 Effect = (
--- a/yarrowwall/standalone/core/events.py
+++ b/yarrowwall/standalone/core/events.py
@@ -1,4 +1,4 @@
-"""Events that a driver hands to a node."""
+"""Events that a driver passes to a node."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -11,19 +11,19 @@
 
 @dataclass(frozen=True)
 class NodeStarted:
-    """The driver runs; the first event of an incarnation."""
+    """The driver has started; the first event of an incarnation."""
 
 
 @dataclass(frozen=True)
 class TimeAdvanced:
-    """The node's next deadline has come."""
+    """The node's next deadline has been reached."""
 
 
 @dataclass(frozen=True)
 class CallerRequest:
-    """A caller's request reached this gateway.
+    """A caller's request arrived at this gateway.
 
-    :param request_id: unique per HTTP request.
+    :param request_id: unique id of the HTTP request.
     """
 
     request_id: str
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True)
 class AttemptKey:
-    """Names one attempt of one call; engines know requests by its text."""
+    """Key of one attempt of one call; its text is the request id at engines."""
 
     program_id: str
     call_number: int
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True)
 class EngineCompleted:
-    """An attempt's whole stream came from the engine."""
+    """An attempt's complete stream arrived from the engine."""
 
     key: AttemptKey
     text: str
@@ -70,21 +70,21 @@
 
 
 class EngineFault(StrEnum):
-    """Why an engine call brought no answer."""
+    """Reason why an attempt at an engine has no answer."""
 
     #: The request never reached the engine, or the engine refused to start it.
     NOT_STARTED = "not_started"
-    #: The connection broke or fell silent; the engine may be running it.
+    #: The connection broke or timed out; the engine may still run the request.
     BROKEN = "broken"
-    #: The engine does not know the request that was to be resumed.
+    #: The engine does not know the request to resume.
     UNKNOWN_REQUEST = "unknown_request"
 
 
 @dataclass(frozen=True)
 class EngineFailed:
-    """An attempt's engine call failed.
+    """An attempt failed at its engine.
 
-    :param retry_after: seconds the engine asked to stay away; 0 without.
+    :param retry_after: seconds to wait before a retry, as the engine asked; 0 if it did not.
     """
 
     key: AttemptKey
@@ -94,7 +94,7 @@
 
 @dataclass(frozen=True)
 class EngineReleased:
-    """An engine confirmed that it holds nothing for a program."""
+    """An engine confirmed that it holds no cache for a program."""
 
     program_id: str
     engine_id: str
@@ -105,8 +105,8 @@
     """An engine's load report.
 
     :param running: requests in the batch.
-    :param queued: requests that wait for a place in the batch.
-    :param capacity: most requests the engine batches.
+    :param queued: requests that wait for a slot in the batch.
+    :param capacity: maximum number of requests in the batch.
     :param orders_term: highest controller term whose order the engine obeyed.
     """
 
@@ -123,16 +123,16 @@
 
 @dataclass(frozen=True)
 class EngineUnreachable:
-    """An engine did not answer a request for its load."""
+    """An engine did not answer a poll for its load."""
 
     engine_id: str
 
 
 @dataclass(frozen=True)
 class CacheBlocksChanged:
-    """A late cache event of an engine.
+    """Changes in an engine's cache, reported with a delay.
 
-    :param sequence: rises by one an event; a jump means that events were lost.
+    :param sequence: number that rises by one per event; a gap means that events were lost.
     """
 
     engine_id: str
@@ -143,18 +143,18 @@
 
 @dataclass(frozen=True)
 class PlatformDocument:
-    """The platform's object service returned or announced an object."""
+    """The platform's store returned or announced an object."""
 
     document: Document
 
 
 class WriteOutcome(StrEnum):
-    """What is known of a write to the platform."""
+    """Outcome of a write to the platform's store."""
 
     DONE = "done"
     #: The object's version was not the expected one.
     CONFLICT = "conflict"
-    #: No answer came: the write may have taken effect.
+    #: No answer arrived; the write may have taken effect.
     UNKNOWN = "unknown"
 
 
@@ -162,7 +162,7 @@
 class PlatformWritten:
     """The answer to a write.
 
-    :param document: the object as the platform has it now, where it said so.
+    :param document: the current object, if the answer contained it.
     """
 
     operation_id: str
@@ -174,7 +174,7 @@
 class PlatformRead:
     """The answer to a read.
 
-    :param operation_id: as in the effect that asked.
+    :param operation_id: id from the effect that requested the read.
     :param available: False if the platform did not answer.
     :param document: None if there is no such object.
     """
@@ -187,7 +187,7 @@
 
 @dataclass(frozen=True)
 class DrainRequested:
-    """The process was asked to stop: finish what runs, accept nothing new."""
+    """The process was asked to stop: finish running work and accept no new requests."""
 
 
 @dataclass(frozen=True)
@@ -205,7 +205,7 @@
 
 @dataclass(frozen=True)
 class OperatorRequest:
-    """An operator's command reached this node."""
+    """An operator's command arrived at this node."""
 
     request_id: str
     command: OperatorCommand
@@ -213,9 +213,9 @@
 
 @dataclass(frozen=True)
 class LookupRequested:
-    """A caller's lookup reached this node.
+    """A caller's lookup arrived at this node.
 
-    :param deadline: when the caller gets a refusal if no server was free.
+    :param deadline: time at which the lookup is refused if it still waits for a server.
     """
 
     request_id: str
--- a/yarrowwall/standalone/core/exceptions.py
+++ b/yarrowwall/standalone/core/exceptions.py
@@ -1,24 +1,24 @@
-"""Errors of the core."""
+"""Exceptions of the core."""
 
 from yarrowwall.exceptions import YarrowwallError
 
 
 class CoreError(YarrowwallError):
-    """Base of the errors of the core."""
+    """Base class of the core's exceptions."""
 
 
 class InvariantError(CoreError):
-    """A state machine reached a state that its rules exclude."""
+    """A state machine violated one of its invariants."""
 
 
 class ConfigurationError(CoreError):
-    """An intent or a plan cannot be accepted."""
+    """An intent, a plan or another change of the configuration was rejected."""
 
 
 class StalePlanError(ConfigurationError):
-    """A plan was computed on a configuration that is no longer in force.
+    """A plan was computed on an outdated configuration.
 
-    :param changed: what changed since, one line each.
+    :param changed: changes since then, one line each.
     """
 
     def __init__(self, message: str, changed: list[str]) -> None:
--- a/yarrowwall/standalone/core/gateway.py
+++ b/yarrowwall/standalone/core/gateway.py
@@ -1,8 +1,8 @@
-"""The gateway: finds the owner of a caller's program and brings its reply back.
+"""The gateway: forwards callers' requests to the programs' owners and relays the replies.
 
-A request is forwarded again after a silence, to whoever is the owner by then.
-That is safe: a call is named by its number, and an owner answers a number it
-knows from the log.
+If no reply arrives in time, a request is forwarded again, to the owner at that
+time. That is safe: calls are numbered, and an owner answers a call number that
+it already has from the log.
 """
 
 from collections.abc import Callable
@@ -22,10 +22,10 @@
 from yarrowwall.standalone.core.membership.table import MemberTable
 from yarrowwall.standalone.core.outbox import Outbox
 
-#: A request that was forwarded this often is taken on by the node it reached:
-#: the views differ, and the higher ballot decides.
+#: Number of times a request is forwarded before the node that it reached handles it as
+#: the owner: member tables differ then, and the higher ballot decides.
 MAX_HOPS = 2
-#: Seconds after which a caller may try another time when no owner can be found.
+#: Seconds after which a caller may retry a refused or unanswered request.
 RETRY_AFTER = 2.0
 
 
@@ -38,11 +38,11 @@
 
 
 class Gateway:
-    """Requests that entered the system at this node.
+    """Open requests that entered the system at this node.
 
-    :param run_locally: hands a request to this node's owner of the program.
-    :param answer_owner: hands the reply to a request that an owner of this
-        node asked to the program that asked.
+    :param run_locally: passes a request to the program's owner on this node.
+    :param answer_owner: passes the reply to a request of :meth:`ask` to the
+        program that asked.
     """
 
     def __init__(
@@ -64,11 +64,11 @@
         self._ask_count = 0
 
     def open_count(self) -> int:
-        """Return how many callers wait for a reply."""
+        """Return the number of callers that wait for a reply."""
         return sum(entry.asking_program is None for entry in self._open.values())
 
     def accept(self, now: float, request_id: str, request: Request) -> None:
-        """Take a caller's request."""
+        """Accept a caller's request."""
         deadline = now + self._limits.request_deadline
         self._open[request_id] = _OpenRequest(request, deadline, None)
         self._send(now, request_id)
@@ -82,12 +82,12 @@
         self._send(now, request_id)
 
     def refuse(self, request_id: str, request: Request, message: str) -> None:
-        """Refuse a request that was not handed to anybody."""
+        """Refuse a request that was not passed to any owner."""
         self._open[request_id] = _OpenRequest(request, 0.0, None)
         self._emit_reply(request_id, ErrorReply(ErrorType.NOT_RUN, message, RETRY_AFTER))
 
     def _emit_reply(self, request_id: str, reply: Reply) -> None:
-        """Emit a reply; :meth:`settle` decides whether somebody still waits for it."""
+        """Emit a reply; :meth:`settle` decides whether a caller still waits for it."""
         self._outbox.emit(ReplyToCaller(request_id, reply))
 
     def _send(self, now: float, request_id: str) -> None:
@@ -116,33 +116,33 @@
             self._emit_reply(request_id, ErrorReply(ErrorType.NOT_RUN, message, RETRY_AFTER))
 
     def handle_forwarded(self, now: float, message: ForwardRequest) -> None:
-        """Run a forwarded request here, or pass it on to the owner."""
+        """Run a forwarded request here, or forward it to the owner."""
         request = decode(message.body)
         route = StreamRoute(message.origin, message.request_id)
         self.redirect(now, route, request, message.hops)
 
     def redirect(self, now: float, route: StreamRoute, request: Request, hops: int) -> None:
-        """Hand a request to the program's owner, this node included."""
+        """Pass a request to the program's owner, which may be this node."""
         owner = self._members.owner_of(request.program_id, now)
         if owner is None or hops >= MAX_HOPS:
             owner = self._outbox.node_id
         self._deliver(now, owner, route, hops, request)
 
     def yield_to(self, now: float, winner: str, route: StreamRoute, request: Request) -> None:
-        """Hand a request to the node that holds the higher ballot; it passes it to nobody."""
+        """Pass a request to the node with the higher ballot, which must not forward it."""
         if winner == self._outbox.node_id:
             self.redirect(now, route, request, 0)
         else:
             self._deliver(now, winner, route, MAX_HOPS, request)
 
     def handle_reply(self, message: ForwardReply) -> None:
-        """Take an owner's reply."""
+        """Handle an owner's reply."""
         self._emit_reply(message.request_id, decode(message.body))
 
     def settle(self, now: float, request_id: str, reply: Reply) -> bool:
         """Close a request with its final reply.
 
-        :returns: whether a caller waits for it.
+        :returns: whether a caller waits for the reply.
         """
         entry = self._open.pop(request_id, None)
         if entry is None:
@@ -153,11 +153,11 @@
         return True
 
     def forget(self, request_id: str) -> None:
-        """Forget a request whose caller has gone; its call goes on."""
+        """Forget a request whose caller has disconnected; its call continues."""
         self._open.pop(request_id, None)
 
     def handle_timer(self, now: float, request_id: str) -> None:
-        """Forward again, or give the caller its final answer."""
+        """Forward a request again, or after its deadline reply that the outcome is unknown."""
         entry = self._open.get(request_id)
         if entry is None:
             return
--- a/yarrowwall/standalone/core/journal/reconfiguration.py
+++ b/yarrowwall/standalone/core/journal/reconfiguration.py
@@ -1,9 +1,9 @@
-"""Changing the shard map: joint majorities, copy, then the new replicas alone.
+"""Changes of the shard map: joint majorities, copying, then the new replicas alone.
 
 While a map names next replicas, every decision needs a majority of the old and
-of the new group. Each old replica notes the logs it had when it learnt of the
-change, asks their owners to bring them to the new replicas, and is done when
-all are there. Once a majority of every old group is done, no chosen entry can
+of the new group. Each old replica lists the logs that it had when it learnt of the
+change, asks their owners to copy them to the new replicas, and is done when
+all are copied. Once a majority of every old group is done, no chosen entry can
 be missing from the new group, and the change is finished.
 """
 
@@ -25,14 +25,15 @@
 from yarrowwall.standalone.core.journal.placement import all_groups
 from yarrowwall.standalone.core.outbox import Outbox
 
-#: Logs one replica asks to be copied at a time.
+#: Number of logs that a replica requests to be copied in one round.
 COPIES_AT_A_TIME = 100
 
 
 def joint_map(shard_map: ShardMap, old_replica_id: str, new: ShardReplica) -> ShardMap:
-    """Return the joint map that begins to replace one replica.
+    """Return the map with joint majorities that starts the replacement of a replica.
 
-    :raises ConfigurationError: if a change is under way or the replica is not in the map.
+    :raises ConfigurationError: if a change is in progress, the old replica is not in the
+        map or the new one already is.
     """
     if shard_map.next_replicas:
         raise ConfigurationError("another change of the shard map is under way")
@@ -45,18 +46,18 @@
 
 
 def final_map(shard_map: ShardMap) -> ShardMap:
-    """Return the map after a change: the next replicas alone."""
+    """Return the map after a change, which has only the next replicas."""
     return shard_map.model_copy(update={"replicas": shard_map.next_replicas, "next_replicas": []})
 
 
 def with_operation(shard_map: ShardMap, operation_id: str) -> bytes:
-    """Return the body of a map that remembers one more operation."""
+    """Return the body of a map with an operation id appended."""
     operations = append_operation(shard_map.operations, operation_id)
     return shard_map.model_copy(update={"operations": operations}).model_dump_json().encode()
 
 
 class LogCopier:
-    """A replica's part in a change of the map.
+    """Requests copies of a replica's logs during a change of the map.
 
     :param owner_of: returns the node that owns a program.
     """
@@ -71,31 +72,31 @@
         self._remaining: dict[str, None] = {}
 
     def begin(self, map_version: int, program_ids: list[str]) -> None:
-        """Note the logs that must be copied before this replica is done."""
+        """Set the logs that must be copied before this replica is done."""
         self._map_version = map_version
         self._remaining = dict.fromkeys(program_ids)
 
     def stop(self) -> None:
-        """The change is over."""
+        """Stop requesting copies, after the end of the change."""
         self._remaining = {}
 
     def ask_owners(self) -> None:
-        """Ask for some of the copies that are left; asked again until they are confirmed."""
+        """Request some of the remaining copies; repeated until they are confirmed."""
         for program_id in list(self._remaining)[:COPIES_AT_A_TIME]:
             owner = self._owner_of(program_id)
             if owner is not None:
                 self._outbox.emit(SendToPeer(owner, CopyProgram(program_id, self._map_version)))
 
     def handle_copied(self, message: ProgramCopied) -> None:
-        """Note a copy."""
+        """Handle the confirmation of a copy."""
         if message.map_version >= self._map_version:
             self._remaining.pop(message.program_id, None)
 
     def handle_ask(self, sender: str, message: AskCopied, map_document: Document | None) -> None:
-        """Say so if all is copied.
+        """Answer a coordinator if all logs are copied.
 
-        The map is durable before that is said: this replica must go on
-        refusing owners with an older map even after a restart.
+        The map is made durable before the answer is sent, because this replica must
+        refuse owners with an older map even after a restart.
         """
         done = message.map_version == self._map_version and not self._remaining
         if done and map_document is not None:
@@ -104,9 +105,9 @@
 
 
 class MapChangeCoordinator:
-    """Finishes a change once enough old replicas are done; runs where a controller does.
+    """Finishes a change once enough old replicas are done; runs on watching nodes.
 
-    Several nodes may do so at once: the write is a compare-and-swap.
+    Several nodes may do so concurrently, since the write is a compare-and-swap.
     """
 
     def __init__(self, node_id: str, transactions: TransactionTable, outbox: Outbox) -> None:
@@ -118,7 +119,7 @@
         self._attempts = 0
 
     def poll(self, now: float, shard_map: ShardMap, map_version: int) -> None:
-        """Ask the old replicas, or finish the change."""
+        """Ask the old replicas whether they are done, or finish the change."""
         if not shard_map.next_replicas:
             return
         if self._map_version != map_version:
@@ -132,7 +133,7 @@
                 self._outbox.emit(SendToPeer(replica.node_id, AskCopied(map_version)))
 
     def handle_copied(self, message: ReplicaCopied) -> None:
-        """Note a replica that is done."""
+        """Record a replica that is done."""
         if message.map_version == self._map_version:
             self._done.add(message.replica_id)
 
@@ -147,7 +148,7 @@
             return with_operation(final_map(parse_map(document)), operation_id)
 
         def done(result: TransactionResult) -> None:
-            """The watch tells every node, this one included."""
+            """Do nothing: every node learns of the new map by its watch or by gossip."""
 
         self._transactions.begin(
             now,
@@ -160,15 +161,15 @@
 
 
 def parse_map(document: Document) -> ShardMap:
-    """Return the shard map of a document."""
+    """Return the shard map in a document."""
     return ShardMap.model_validate_json(document.body)
 
 
 def map_version_of(document: Document | None) -> int:
-    """Return the version of a shard map; the settings' map is version 1."""
+    """Return the version of the shard map in a document; the settings' map has version 1."""
     return 1 + (document.version if document else 0)
 
 
 def document_version(map_version: int) -> int:
-    """Return the version of the document that holds a version of the map."""
+    """Return the document version of a version of the map."""
     return map_version - 1
--- a/yarrowwall/standalone/core/journal/replica.py
+++ b/yarrowwall/standalone/core/journal/replica.py
@@ -1,8 +1,8 @@
-"""A journal replica: an acceptor of many programs' Paxos logs.
+"""A journal replica: a Paxos acceptor for the logs of many programs.
 
-Every answer that promises or accepts something depends on a record that must
-be durable first, so handlers return the record with the answer and the driver
-sends the answer only after the record is on disk.
+A promise or an acceptance may be sent only after its record is durable.
+Handlers therefore return the record with the answer, and the driver sends the
+answer after the record is on disk.
 """
 
 from collections.abc import Iterable, Iterator
@@ -33,9 +33,9 @@
 
 @dataclass(frozen=True)
 class ReplicaResult:
-    """What a handler decided.
+    """Result of a handler.
 
-    :param record: must be durable before ``answer`` is sent; None if nothing changed.
+    :param record: record that must be durable before ``answer`` is sent; None if nothing changed.
     """
 
     record: Record | None
@@ -46,11 +46,11 @@
 class ReplicaLog:
     """One program's log at one replica.
 
-    An entry makes sense only after the entries before it, so the log is
-    accepted and recovered as a whole, never position by position: the first
-    append of a ballot drops what an older ballot left behind.
+    Each entry depends on the entries before it, so the log is accepted and
+    recovered as a whole, never position by position: the first append of a
+    ballot removes the unchosen entries of an older ballot.
 
-    :ivar promised: appends under lower ballots are refused.
+    :ivar promised: promised ballot; requests with lower ballots are refused.
     :ivar accepted_ballot: the ballot under which the log was last accepted.
     :ivar entries: accepted entries by position, without gaps.
     :ivar chosen: length of the prefix known to be chosen; never shrinks.
@@ -62,14 +62,14 @@
     chosen: int = 0
 
     def agreed_length(self, ballot: Ballot) -> int:
-        """Return up to where the log surely agrees with that of a ballot's owner."""
+        """Return the length of the prefix known to equal the log of the ballot's owner."""
         return len(self.entries) if self.accepted_ballot == ballot else self.chosen
 
     def accept(self, ballot: Ballot, start: int, bodies: list[bytes], chosen: int) -> None:
-        """Store entries of a ballot that was checked and of a start that leaves no gap.
+        """Store entries; the caller has checked the ballot and that they leave no gap.
 
-        An append always reaches to the end of its owner's log at that time, so
-        one that ends earlier than what the same ballot stored came late.
+        An append always extends to the end of its owner's log at that time, so one
+        that ends before the entries stored under the same ballot is a delayed one.
         """
         self.promised = ballot
         end = start + len(bodies)
@@ -79,9 +79,9 @@
         self.chosen = max(self.chosen, min(chosen, len(self.entries)))
 
     def validate(self) -> None:
-        """Check what must hold between handlers.
+        """Check the invariants of the log, which hold between handlers.
 
-        :raises InvariantError: if it does not.
+        :raises InvariantError: if one is violated.
         """
         if not 0 <= self.chosen <= len(self.entries):
             raise InvariantError("more of a log is chosen than stored")
@@ -92,7 +92,7 @@
 class JournalReplica:
     """All logs and documents of one data folder.
 
-    :param replica_id: made with the data folder; a replaced disk is a new replica.
+    :param replica_id: id created with the data folder; a replaced disk is a new replica.
     """
 
     def __init__(self, replica_id: str) -> None:
@@ -101,19 +101,19 @@
         self._documents: dict[str, Document] = {}
 
     def restore(self, records: Iterable[Record]) -> None:
-        """Rebuild the state from the records on disk, oldest first."""
+        """Restore the state from the records on disk, oldest first."""
         for record in records:
             self._apply(record)
 
     def snapshot(self) -> Iterator[Record]:
-        """Return the fewest records that restore the present state."""
+        """Return a minimal sequence of records that restores the current state."""
         for document in self._documents.values():
             yield DocumentKept(document)
         for program_id in self._logs:
             yield self.log_snapshot(program_id)
 
     def log_snapshot(self, program_id: str) -> LogSnapshot:
-        """Return one program's log as one record."""
+        """Return one program's log as a single record."""
         log = self._logs[program_id]
         return LogSnapshot(
             program_id, log.promised, log.accepted_ballot, log.chosen, list(log.entries)
@@ -139,7 +139,7 @@
         return log
 
     def handle_prepare(self, request: Prepare) -> ReplicaResult:
-        """Promise a ballot unless a higher one was promised."""
+        """Promise a ballot unless a higher one has been promised."""
         log = self._log(request.program_id)
         if request.ballot < log.promised:
             return self._refusal(request.program_id, request.ballot, log)
@@ -158,7 +158,7 @@
         return ReplicaResult(record, answer)
 
     def handle_append(self, request: Append) -> ReplicaResult:
-        """Accept entries unless a higher ballot was promised or they would leave a gap."""
+        """Accept entries unless a higher ballot has been promised or they would leave a gap."""
         log = self._log(request.program_id)
         if request.ballot < log.promised:
             return self._refusal(request.program_id, request.ballot, log)
@@ -178,7 +178,7 @@
         return ReplicaResult(None, refused)
 
     def handle_store_document(self, request: StoreDocument) -> ReplicaResult:
-        """Store a document unless a version at least as new is stored."""
+        """Store a document unless an equal or newer version is stored."""
         document = request.document
         current = self._documents.get(document.name)
         record = None
@@ -189,25 +189,25 @@
         return ReplicaResult(record, DocumentStored(document.name, version, self.replica_id))
 
     def documents(self) -> list[Document]:
-        """Return the newest documents stored."""
+        """Return the newest stored version of each document."""
         return list(self._documents.values())
 
     def program_ids(self) -> list[str]:
-        """Return the programs this replica has a log of."""
+        """Return the ids of the programs whose logs this replica holds."""
         return list(self._logs)
 
     def log(self, program_id: str) -> ReplicaLog:
-        """Return the log of a program this replica knows."""
+        """Return the log of a program that this replica holds."""
         return self._logs[program_id]
 
     def forget(self, program_id: str) -> None:
-        """Drop the log of a program that ended and holds nothing more."""
+        """Drop the log of a complete program."""
         self._logs.pop(program_id, None)
 
     def validate_state(self) -> None:
         """Check every log's invariants; for tests.
 
-        :raises InvariantError: if one does not hold.
+        :raises InvariantError: if one is violated.
         """
         for log in self._logs.values():
             log.validate()
--- a/yarrowwall/standalone/core/journal/service.py
+++ b/yarrowwall/standalone/core/journal/service.py
@@ -1,4 +1,4 @@
-"""A node's journal replica: answers requests and finds programs left behind."""
+"""Serves a node's journal replica and finds programs without an active owner."""
 
 import yarrowwall.messages.all_messages  # noqa: F401
 from yarrowwall.hashing import fraction
@@ -16,9 +16,9 @@
 class JournalService:
     """Drives a :class:`JournalReplica` within a node.
 
-    A program whose owner died with work left is found here: some time after
-    a log last changed, the replica looks whether the program is complete, and
-    if not asks for its owner to load it.
+    It also finds programs whose owner died with unfinished work: some time after
+    a log last changed, it checks whether the program is complete, and if not has
+    the current owner load the program.
     """
 
     def __init__(self, replica: JournalReplica, limits: Limits, outbox: Outbox) -> None:
@@ -28,7 +28,7 @@
         self.sweeps: Timers[str] = Timers()
 
     def start(self, now: float) -> None:
-        """Plan a look at every log, spread over one interval."""
+        """Schedule a check of every log, spread over one interval."""
         for program_id in self.replica.program_ids():
             delay = self._limits.sweep_interval * (1.0 + fraction("sweep", program_id))
             self.sweeps.set(program_id, now + delay)
@@ -46,7 +46,7 @@
         self.sweeps.set(request.program_id, now + self._limits.sweep_interval)
 
     def _is_stale(self, sender: str, request: Prepare | Append, map_version: int) -> bool:
-        """Refuse owners that use an older shard map than this node's."""
+        """Refuse a request of an owner whose shard map is older than this node's."""
         if request.map_version >= map_version:
             return False
         stale = ShardMapStale(request.program_id, self.replica.replica_id, map_version)
@@ -58,7 +58,7 @@
         self._answer(sender, self.replica.handle_store_document(request))
 
     def handle_fetch(self, request: FetchDocuments) -> None:
-        """Return the documents stored."""
+        """Send the stored documents to the requester."""
         answer = FetchedDocuments(self.replica.replica_id, self.replica.documents())
         self._outbox.emit(SendToPeer(request.requester, answer))
 
@@ -69,13 +69,13 @@
             self._outbox.emit(PersistThenSend(result.record, sender, result.answer))
 
     def due(self, now: float) -> list[str]:
-        """Return the programs whose owner should look after them now."""
+        """Return the programs that their owners should load now."""
         return [
             program_id for program_id in self.sweeps.due(now) if self._needs_owner(now, program_id)
         ]
 
     def _needs_owner(self, now: float, program_id: str) -> bool:
-        """Look at one log and plan the next look; forget a program long complete."""
+        """Check one log and schedule its next check; drop the log of a program long complete."""
         state = ProgramState(program_id)
         for body in self.replica.log(program_id).entries:
             state.apply(decode(body))
@@ -92,10 +92,11 @@
         return overdue
 
     def _forget_later(self, now: float, program_id: str, at: float) -> None:
-        """Drop a complete program's log once nobody can ask for its answers any more.
+        """Drop a complete program's log after the retention time.
 
-        The records on disk go with the next compaction; a restart before that
-        brings the log back, to be forgotten again.
+        By then all requests for its answers have expired. The records on disk are
+        removed by the next compaction; a restart before that restores the log, and
+        it is dropped again.
         """
         if now < at:
             self.sweeps.set(program_id, at)
--- a/yarrowwall/standalone/core/limits.py
+++ b/yarrowwall/standalone/core/limits.py
@@ -5,28 +5,30 @@
 
 @dataclass(frozen=True)
 class Limits:
-    """What bounds waits, retries and programs; seconds where not said otherwise.
+    """Limits of waits, retries and programs; times are in seconds.
 
-    :param retransmit: silence after which journal messages are sent again.
-    :param order_wait: longest wait of a call for the earlier calls of its program.
-    :param queue_wait: longest wait of a call for an engine.
-    :param forward_retry: silence after which a gateway forwards a request again.
-    :param request_deadline: age at which a gateway gives up on a request.
-    :param dispatch_validity: age of a proposed dispatch at which it is not sent any
-        more; well below the time for which a new owner tries to resume it.
+    :param retransmit: time without an answer after which journal messages are resent.
+    :param order_wait: maximum wait of a call for the earlier calls of its program.
+    :param queue_wait: maximum wait of a call for an engine.
+    :param forward_retry: time without a reply after which a gateway forwards a request again.
+    :param request_deadline: age of a request at which a gateway replies without its outcome.
+    :param dispatch_validity: age at which a proposed dispatch is no longer sent; well
+        below the time for which a new owner tries to resume it.
     :param resume_interval: pause between attempts to resume a broken stream.
-    :param resume_attempts: how often a broken stream is resumed.
-    :param start_attempts: how often a call that did not start is placed anew.
-    :param idle_limit: age of a program's last activity at which it is ended.
-    :param unload_after: age of a settled program's last activity at which its
-        owner drops it from memory.
-    :param calls_per_program: most calls of a program; bounds endless loops.
-    :param sweep_interval: pause between a replica's searches for forgotten programs.
-    :param retention: age of a program's end at which its log is dropped; well
+    :param resume_attempts: number of attempts to resume a broken stream.
+    :param start_attempts: number of attempts to start a call.
+    :param idle_limit: time without activity after which a program is ended.
+    :param unload_after: time without activity after which the owner drops a settled
+        program from memory.
+    :param calls_per_program: maximum number of calls of a program; stops endless loops.
+    :param sweep_interval: pause between a replica's checks for programs without an owner.
+    :param retention: time after a program's end at which its log is dropped; well
         above every request's deadline.
     :param gossip_interval: pause between gossip rounds.
-    :param dead_after: silence after which a member counts as dead.
+    :param dead_after: time without a new heartbeat after which a member counts as dead.
     :param lease: length of the controller lease.
+    :param document_retry: pause between resends of unanswered document requests.
+    :param platform_retry: pause before a transaction reads from the platform again.
     """
 
     retransmit: float = 0.3
--- a/yarrowwall/standalone/core/lookups.py
+++ b/yarrowwall/standalone/core/lookups.py
@@ -1,7 +1,7 @@
-"""Lookups at record servers: urgent first, each answered once.
+"""Lookups at record servers: urgent ones first, each answered once.
 
-A lookup only reads, so it may be tried again at another server. A part of
-every server's places is kept for urgent lookups: routine ones never fill it.
+A lookup only reads, so it can be retried at another server. Some slots of every
+server are reserved for urgent lookups.
 """
 
 from collections import deque
@@ -14,17 +14,17 @@
 from yarrowwall.standalone.core.events import LookupAnswered, LookupRequested
 from yarrowwall.standalone.core.outbox import Outbox
 
-#: Lookups of this node in flight at one server.
+#: Limit of this node's lookups in flight at one server.
 SLOTS_PER_SERVER = 16
-#: Places of each server that only urgent lookups take.
+#: Slots of each server that are reserved for urgent lookups.
 URGENT_SLOTS = 4
-#: Servers that one lookup is tried at.
+#: Limit of servers that are tried for one lookup.
 MAX_ATTEMPTS = 3
-#: Routine lookups that wait; more are refused at once.
+#: Limit of waiting lookups of each priority; further ones are refused at once.
 MAX_WAITING = 1_000
-#: Seconds a server gets nothing after a failure.
+#: Seconds for which a server gets no lookups after a failure.
 AVOID_SECONDS = 2.0
-#: Seconds after which a refused caller may come back.
+#: Seconds after which a refused caller may retry.
 RETRY_AFTER = 1.0
 
 
@@ -43,7 +43,7 @@
 
 
 class LookupDispatcher:
-    """The lookups that entered at this node."""
+    """Dispatches the lookups that entered at this node to record servers."""
 
     def __init__(self, zone: str, outbox: Outbox) -> None:
         self._zone = zone
@@ -56,7 +56,7 @@
         self._in_flight: dict[str, _Lookup] = {}
 
     def set_machines(self, machines: Iterable[Machine]) -> None:
-        """Use the record servers of a newer machine list that are not leaving."""
+        """Update the record servers from a newer machine list, without those that are leaving."""
         wanted = {
             machine.machine_id: machine
             for machine in machines
@@ -69,11 +69,11 @@
         self._servers = kept
 
     def is_idle(self) -> bool:
-        """Return whether no lookup waits or runs."""
+        """Return whether no lookup is waiting or in flight."""
         return not self._in_flight and not any(self._waiting.values())
 
     def accept(self, now: float, request: LookupRequested) -> None:
-        """Take a lookup."""
+        """Queue a lookup, or refuse it if too many wait."""
         queue = self._waiting[request.priority]
         if len(queue) >= MAX_WAITING:
             self.refuse(request, "too many lookups wait")
@@ -86,7 +86,7 @@
         self._outbox.emit(ReplyToLookup(request.request_id, None, message, RETRY_AFTER))
 
     def dispatch(self, now: float) -> None:
-        """Send waiting lookups as far as servers have places."""
+        """Send waiting lookups while servers have free slots, urgent ones first."""
         for priority in (Priority.URGENT, Priority.ROUTINE):
             queue = self._waiting[priority]
             while queue:
@@ -96,7 +96,7 @@
                 self._send(queue.popleft(), server)
 
     def _choose(self, now: float, lookup: _Lookup) -> _Server | None:
-        """Return the server with the fewest lookups in flight, of the own zone if it can be."""
+        """Return the server with the fewest lookups in flight, preferably in the own zone."""
         slots = SLOTS_PER_SERVER
         if lookup.request.priority is Priority.ROUTINE:
             slots -= URGENT_SLOTS
@@ -119,7 +119,7 @@
         self._outbox.emit(SendLookup(lookup.request, lookup.server_id, server.machine.address))
 
     def handle_answer(self, now: float, event: LookupAnswered) -> None:
-        """Pass an answer on, or try another server."""
+        """Relay an answer to the caller, or retry at another server after a failure."""
         lookup = self._in_flight.pop(event.request_id, None)
         if lookup is None:
             return
@@ -142,7 +142,7 @@
             self.refuse(lookup.request, "no record server answers")
 
     def refuse_overdue(self, now: float) -> None:
-        """Refuse waiting lookups whose deadline has come."""
+        """Refuse waiting lookups whose deadline has passed."""
         for queue in self._waiting.values():
             while queue and queue[0].request.deadline <= now:
                 self.refuse(queue.popleft().request, "no record server became free in time")
--- a/yarrowwall/standalone/core/machines.py
+++ b/yarrowwall/standalone/core/machines.py
@@ -1,4 +1,4 @@
-"""The machines of the platform as a node knows them, and which engines it polls."""
+"""The platform's machines known to a node, and the engines that it polls."""
 
 from yarrowwall.standalone.core.configuration.models import Machine, MachineList
 from yarrowwall.standalone.core.effects import PollEngine
@@ -12,9 +12,9 @@
 
 
 class MachineTable:
-    """Tells the scheduler and the lookups of the machines in force.
+    """Passes the current machine list to the scheduler and the lookups.
 
-    :param outbox: takes the orders to poll an engine or to cease.
+    :param outbox: receives the effects that start and stop the polling of engines.
     """
 
     def __init__(self, scheduler: Scheduler, lookups: LookupDispatcher, outbox: Outbox) -> None:
@@ -33,14 +33,14 @@
         ]
 
     def update(self, found: MachineList) -> None:
-        """Take in a newer list."""
+        """Use a newer machine list."""
         self.machines = found.machines
         self._scheduler.set_machines(self.engines())
         self._lookups.set_machines(self.machines)
         self._poll_used()
 
     def _poll_used(self) -> None:
-        """Poll the engines that the scheduler uses, at the addresses that they have now."""
+        """Poll the engines that the scheduler uses, at their current addresses."""
         used = {
             engine_id: view.machine.address for engine_id, view in self._scheduler.engines().items()
         }
--- a/yarrowwall/standalone/core/node.py
+++ b/yarrowwall/standalone/core/node.py
@@ -1,8 +1,8 @@
-"""A node: one state machine made of the gateway, owners, replica and the rest.
+"""A node: one state machine composed of the gateway, owners, replica and others.
 
-The driver hands in an event and the time, and carries out the effects that
-come back, in their order. It calls :meth:`NodeCore.handle` with
-:class:`TimeAdvanced` no later than :meth:`NodeCore.next_deadline` says.
+The driver passes in an event with the current time and carries out the returned
+effects in order. It calls :meth:`NodeCore.handle` with :class:`TimeAdvanced` no
+later than :meth:`NodeCore.next_deadline`.
 """
 
 from collections.abc import Callable
@@ -106,7 +106,7 @@
 from yarrowwall.standalone.core.scheduling.scheduler import Scheduler, SchedulerSettings
 from yarrowwall.standalone.core.timers import Timers
 
-#: Nodes of a zone that watch the platform; the rest learn by gossip.
+#: Number of nodes per zone that watch the platform; the others learn changes by gossip.
 WATCHERS_PER_ZONE = 2
 
 _NOT_SERVING = "this node is starting or stopping"
@@ -123,11 +123,11 @@
 
 @dataclass(frozen=True)
 class NodeSettings:
-    """What a node knows at its start.
+    """Settings of a node at its start.
 
-    :param incarnation: higher than at every earlier start of the node.
-    :param seeds: other nodes to gossip with at first.
-    :param shard_map: the first shard map; newer ones are documents.
+    :param incarnation: number that is higher than at every earlier start of the node.
+    :param seeds: other nodes to start gossip with.
+    :param shard_map: the initial shard map; newer ones are documents.
     """
 
     node_id: str
@@ -210,10 +210,10 @@
         self._handlers = self._event_handlers()
         self._peer_handlers = self._message_handlers()
 
-    # The driver's side
+    # Interface for the driver
 
     def handle(self, now: float, event: object) -> list[Effect]:
-        """Take one event.
+        """Handle one event.
 
         :returns: the effects to carry out, in order.
         """
@@ -224,7 +224,7 @@
         return self._finish(now)
 
     def next_deadline(self) -> float | None:
-        """Return when :class:`TimeAdvanced` is due; None if nothing waits."""
+        """Return the time at which :class:`TimeAdvanced` is due; None without any timer."""
         deadlines = [self._timers.next_deadline(), self.owners.next_deadline()]
         if self.journal is not None:
             deadlines.append(self.journal.sweeps.next_deadline())
@@ -235,7 +235,7 @@
         return self.members.address_of(node_id)
 
     def is_ready(self) -> bool:
-        """Return whether requests are taken."""
+        """Return whether this node accepts requests."""
         return self.documents.is_ready and not self.is_draining()
 
     def is_draining(self) -> bool:
@@ -255,7 +255,7 @@
         return self._machines.machines
 
     def _finish(self, now: float) -> list[Effect]:
-        """Handle messages to this node itself and settle replies; return the rest."""
+        """Handle messages to this node itself and settle replies; return the other effects."""
         effects: list[Effect] = []
         pending = self._outbox.take()
         while pending:
@@ -269,7 +269,7 @@
         return effects
 
     def _is_wanted(self, now: float, effect: Effect) -> bool:
-        """Return False for a reply that nobody waits for any more."""
+        """Return False for a reply to a request that has no waiting caller."""
         if not isinstance(effect, ReplyToCaller):
             return True
         return self.gateway.settle(now, effect.request_id, effect.reply)
@@ -309,10 +309,10 @@
             self.journal.start(now)
 
     def _apply_stored_map(self) -> None:
-        """Use the newest shard map this replica stored.
+        """Use the newest shard map that this replica has stored.
 
-        It may not be on a majority of replicas yet. That does no harm: the
-        platform has it, and a newer map is never less strict than an older one.
+        It may not be on a majority of replicas yet. That is safe: the platform has
+        it, and a newer map is never less strict than an older one.
         """
         stored = self.journal.replica.documents() if self.journal is not None else []
         for document in stored:
@@ -332,7 +332,7 @@
             self.lookups.refuse(event, _NOT_SERVING)
 
     def _handle_operator(self, now: float, event: OperatorRequest) -> None:
-        """Carry out a command; a draining node could be gone before its reply."""
+        """Run a command; refuse it while draining, since the node could exit before the reply."""
         if self.is_draining():
             reply = OperatorReply(OperatorOutcome.NOT_RUN, _NOT_SERVING)
             self._outbox.emit(ReplyToOperator(event.request_id, reply))
@@ -348,7 +348,7 @@
             self._handle_document(now, event.document)
 
     def _handle_drain(self, now: float, event: DrainRequested) -> None:
-        """Leave: tell the others at once, then wait for what runs."""
+        """Start draining: announce it to other nodes, then wait for running work to finish."""
         self.members.set_status(MemberStatus.LEAVING)
         self._gossip(now)
         self._timers.set(_DRAIN, now + _DRAIN_INTERVAL)
@@ -459,7 +459,7 @@
             self.gateway.handle_timer(now, key.removeprefix(_REQUEST_PREFIX))
         elif key.startswith(_TRANSACTION_PREFIX):
             self._transactions.handle_timer(now, key.removeprefix(_TRANSACTION_PREFIX))
-        # _PLACE only wakes the node: calls are placed after every event.
+        # _PLACE only triggers an event, since calls are placed after every event.
 
     def _gossip_round(self, now: float) -> None:
         self._timers.set(_GOSSIP, now + self._limits.gossip_interval)
@@ -564,9 +564,9 @@
         self.owners.handle_owner_reply(now, program_id, request, reply)  # type: ignore[arg-type]
 
     def validate_state(self) -> None:
-        """Check the invariants of every part; for tests.
+        """Check the invariants of the owners and the journal; for tests.
 
-        :raises InvariantError: if one does not hold.
+        :raises InvariantError: if one is violated.
         """
         self.owners.validate_state()
         if self.journal is not None:
--- a/yarrowwall/standalone/core/outbox.py
+++ b/yarrowwall/standalone/core/outbox.py
@@ -1,4 +1,4 @@
-"""Collects the effects of one handler run, in order."""
+"""Collects the effects of one event in order."""
 
 from yarrowwall.messages.codec import encode
 from yarrowwall.messages.peers import ForwardReply
@@ -7,9 +7,9 @@
 
 
 class Outbox:
-    """Effects waiting for the driver.
+    """Effects that wait for the driver.
 
-    :param node_id: this node, to tell local callers from remote ones.
+    :param node_id: id of this node, to distinguish local callers from remote ones.
     """
 
     def __init__(self, node_id: str) -> None:
@@ -31,7 +31,7 @@
         return SendToPeer(route.gateway, ForwardReply(route.request_id, encode(reply)))
 
     def take(self) -> list[Effect]:
-        """Return the effects collected so far and start anew."""
+        """Return the collected effects and clear the outbox."""
         effects = self._effects
         self._effects = []
         return effects
--- a/yarrowwall/standalone/core/timers.py
+++ b/yarrowwall/standalone/core/timers.py
@@ -1,4 +1,4 @@
-"""Deadlines of a state machine, kept in order without a clock."""
+"""Ordered deadlines of a state machine, without a clock."""
 
 import heapq
 from dataclasses import dataclass, field
@@ -30,7 +30,7 @@
         heapq.heappush(self._heap, deadline)
 
     def cancel(self, key: Key) -> None:
-        """Forget the deadline of a key, if it has one."""
+        """Remove the deadline of a key, if it has one."""
         self._current.pop(key, None)
 
     def __contains__(self, key: Key) -> bool:
@@ -42,7 +42,7 @@
         return self._heap[0].at if self._heap else None
 
     def due(self, now: float) -> list[Key]:
-        """Remove and return the keys whose deadline has come, earliest first."""
+        """Remove and return the keys whose deadlines have passed, earliest first."""
         keys: list[Key] = []
         self._drop_replaced()
         while self._heap and self._heap[0].at <= now:
