--- a/yarrowwall/standalone/core/configuration/controller.py
+++ b/yarrowwall/standalone/core/configuration/controller.py
@@ -73,7 +73,7 @@
         self._term = 0
         self._held_until = 0.0
         self._attempts = 0
-        self._obeyed: dict[str, tuple[int, tuple[str, ...]]] = {}
+        self._confirmed_orders: dict[str, tuple[int, tuple[str, ...]]] = {}
 
     def holds_lease(self, now: float) -> bool:
         """Return whether this node holds the lease according to its own clock."""
@@ -132,12 +132,15 @@
             return
         for engine in engines:
             is_controlled = engine.zone == self._zone and not engine.leaving
-            if is_controlled and self._obeyed.get(engine.engine_id) != (self._term, models):
+            if is_controlled and self._confirmed_orders.get(engine.engine_id) != (
+                self._term,
+                models,
+            ):
                 self._outbox.emit(OrderEngine(engine.engine_id, engine.address, self._term, models))
 
     def handle_ordered(self, event: EngineOrdered) -> None:
         """Handle an engine's answer; a refusal means that another node holds the lease."""
         if event.accepted:
-            self._obeyed[event.engine_id] = (event.term, event.models)
+            self._confirmed_orders[event.engine_id] = (event.term, event.models)
         elif event.term == self._term:
             self._held_until = 0.0
--- a/yarrowwall/standalone/core/configuration/documents.py
+++ b/yarrowwall/standalone/core/configuration/documents.py
@@ -50,7 +50,7 @@
         self._groups = groups
         self._on_change = on_change
         self._in_force: dict[str, Document] = {}
-        self._replicating: dict[str, _Replication] = {}
+        self._replications: dict[str, _Replication] = {}
         self._fetched_from: set[str] = set()
         self._fetched: dict[str, Document] = {}
         self._has_fetched = False
@@ -80,9 +80,9 @@
         if document.version <= self.version(document.name):
             return
         self._in_force[document.name] = document
-        replicating = self._replicating.get(document.name)
-        if replicating is not None and replicating.document.version <= document.version:
-            del self._replicating[document.name]
+        replication = self._replications.get(document.name)
+        if replication is not None and replication.document.version <= document.version:
+            del self._replications[document.name]
         self._on_change(document)
 
     # Start
@@ -114,10 +114,10 @@
         """Store a document on a majority of replicas, then put it in force."""
         if document.name not in SPREAD_DOCUMENTS or document.version <= self.version(document.name):
             return
-        replicating = self._replicating.get(document.name)
-        if replicating is not None and replicating.document.version >= document.version:
+        replication = self._replications.get(document.name)
+        if replication is not None and replication.document.version >= document.version:
             return
-        self._replicating[document.name] = _Replication(document)
+        self._replications[document.name] = _Replication(document)
         self._send_store(document, set())
 
     def _send_store(self, document: Document, skip: set[str]) -> None:
@@ -127,23 +127,23 @@
 
     def handle_stored(self, answer: DocumentStored) -> None:
         """Count a replica that stored a document; with a majority put the document in force."""
-        replicating = self._replicating.get(answer.name)
-        if replicating is None or answer.version < replicating.document.version:
+        replication = self._replications.get(answer.name)
+        if replication is None or answer.version < replication.document.version:
             return
-        replicating.stored_on.add(answer.replica_id)
-        if self._groups().is_quorum(replicating.stored_on):
-            self.apply(replicating.document)
+        replication.stored_on.add(answer.replica_id)
+        if self._groups().is_quorum(replication.stored_on):
+            self.apply(replication.document)
 
     def retry(self) -> None:
         """Resend the requests that have not been answered."""
         if not self._has_fetched:
             self.fetch()
-        for replicating in self._replicating.values():
-            self._send_store(replicating.document, replicating.stored_on)
+        for replication in self._replications.values():
+            self._send_store(replication.document, replication.stored_on)
 
     def has_unfinished(self) -> bool:
         """Return whether :meth:`retry` would send anything."""
-        return not self._has_fetched or bool(self._replicating)
+        return not self._has_fetched or bool(self._replications)
 
     # Gossip
 
--- a/yarrowwall/standalone/core/configuration/operator.py
+++ b/yarrowwall/standalone/core/configuration/operator.py
@@ -161,11 +161,11 @@
 
     def _show(self, now: float, request_id: str, plan_id: str) -> None:
         def check_exists(document: Document | None) -> None:
-            _plan_of(document, plan_id)
+            _parse_plan(document, plan_id)
 
         def finish(result: TransactionResult) -> None:
             if result.outcome is TransactionOutcome.DONE:
-                plan = _plan_of(result.document, plan_id)
+                plan = _parse_plan(result.document, plan_id)
                 self._reply(request_id, OperatorReply(OperatorOutcome.DONE, plan=plan))
             else:
                 self._reply_failure(request_id, result)
@@ -178,7 +178,7 @@
         """Mark the plan as confirmed, then write the new configuration."""
 
         def mark(document: Document | None) -> bytes | None:
-            plan = _plan_of(document, plan_id)
+            plan = _parse_plan(document, plan_id)
             if plan.status == "rejected":
                 raise ConfigurationError(f"plan {plan_id} was rejected")
             if plan.status == "confirmed":
@@ -187,7 +187,7 @@
 
         def finish(result: TransactionResult) -> None:
             if result.outcome is TransactionOutcome.DONE:
-                plan = _plan_of(result.document, plan_id)
+                plan = _parse_plan(result.document, plan_id)
                 self._swap_configuration(now, request_id, plan)
             else:
                 self._reply_failure(request_id, result)
@@ -250,7 +250,7 @@
     def _reject(self, now: float, request_id: str, plan_id: str) -> None:
         def finish(result: TransactionResult) -> None:
             if result.outcome is TransactionOutcome.DONE:
-                plan = _plan_of(result.document, plan_id)
+                plan = _parse_plan(result.document, plan_id)
                 self._reply(request_id, OperatorReply(OperatorOutcome.DONE, plan=plan))
             else:
                 self._reply_failure(request_id, result)
@@ -265,7 +265,7 @@
         finish: Callable[[TransactionResult], None],
     ) -> None:
         def mark(document: Document | None) -> bytes | None:
-            plan = _plan_of(document, plan_id)
+            plan = _parse_plan(document, plan_id)
             if plan.status == "confirmed":
                 raise ConfigurationError(f"plan {plan_id} was confirmed")
             return (
@@ -304,7 +304,7 @@
         )
 
 
-def _plan_of(document: Document | None, plan_id: str) -> Plan:
+def _parse_plan(document: Document | None, plan_id: str) -> Plan:
     """Return the plan in a document.
 
     :raises UnknownPlanError: if there is no document.
--- a/yarrowwall/standalone/core/journal/proposer.py
+++ b/yarrowwall/standalone/core/journal/proposer.py
@@ -1,8 +1,8 @@
 """The proposer of one program's log, run by the program's owner.
 
 A proposer first prepares its ballot on a quorum. It then leads: it adopts the log
-that the promises return and appends the entries not known to be chosen again under
-its own ballot. It sends new entries without waiting for earlier ones to be
+that the promises return and re-appends, under its own ballot, the entries that are
+not known to be chosen. It sends new entries without waiting for earlier ones to be
 acknowledged, and each replica accepts them only without gaps.
 """
 
@@ -133,7 +133,9 @@
         :raises InvariantError: if this proposer does not lead.
         """
         if self.phase is not ProposerPhase.LEADING:
-            raise InvariantError(f"append to {self.program_id} while {self.phase}")
+            raise InvariantError(
+                f"cannot append to the log of {self.program_id} while {self.phase}"
+            )
         start = len(self.entries)
         self.entries.extend(bodies)
         return self._append_from(start)
--- a/yarrowwall/standalone/core/journal/replica.py
+++ b/yarrowwall/standalone/core/journal/replica.py
@@ -84,9 +84,9 @@
         :raises InvariantError: if one is violated.
         """
         if not 0 <= self.chosen <= len(self.entries):
-            raise InvariantError("more of a log is chosen than stored")
+            raise InvariantError("the chosen prefix is longer than the stored log")
         if self.accepted_ballot > self.promised:
-            raise InvariantError("a log accepted entries above its promise")
+            raise InvariantError("the accepted ballot is higher than the promised ballot")
 
 
 class JournalReplica:
--- a/yarrowwall/standalone/core/journal/service.py
+++ b/yarrowwall/standalone/core/journal/service.py
@@ -82,7 +82,9 @@
         if state.opened is None:
             return False
         if state.ended is not None and state.is_complete():
-            self._forget_later(now, program_id, state.ended.ended_at + self._limits.retention)
+            self._drop_after_retention(
+                now, program_id, state.ended.ended_at + self._limits.retention
+            )
             return False
         idle_at = state.last_activity + self._limits.idle_limit
         unfinished = state.ended is not None or state.unsettled_call() is not None
@@ -91,7 +93,7 @@
         self.sweeps.set(program_id, next_check)
         return overdue
 
-    def _forget_later(self, now: float, program_id: str, at: float) -> None:
+    def _drop_after_retention(self, now: float, program_id: str, at: float) -> None:
         """Drop a complete program's log after the retention time.
 
         By then all requests for its answers have expired. The records on disk are
--- a/yarrowwall/standalone/core/node.py
+++ b/yarrowwall/standalone/core/node.py
@@ -170,7 +170,7 @@
             self._outbox,
             lambda request_id, at: self._timers.set(_REQUEST_PREFIX + request_id, at),
             self._run_request,
-            self._answer_owner,
+            self._handle_owner_reply,
         )
         self.owners = OwnerRegistry(
             ballot_holder(self.node_id, settings.incarnation),
@@ -560,7 +560,9 @@
     def _run_request(self, now: float, route: StreamRoute, request: object) -> None:
         self.owners.handle_request(now, route, request)  # type: ignore[arg-type]
 
-    def _answer_owner(self, now: float, program_id: str, request: object, reply: object) -> None:
+    def _handle_owner_reply(
+        self, now: float, program_id: str, request: object, reply: object
+    ) -> None:
         self.owners.handle_owner_reply(now, program_id, request, reply)  # type: ignore[arg-type]
 
     def validate_state(self) -> None:
--- a/yarrowwall/standalone/core/program/attempts.py
+++ b/yarrowwall/standalone/core/program/attempts.py
@@ -158,7 +158,7 @@
 
     def handle_completed(self, now: float, event: EngineCompleted) -> None:
         """Journal the complete answer, then send it to every waiting caller."""
-        call = self._call_of(event.key)
+        call = self._current_call(event.key)
         if call is None:
             return
         number = event.key.call_number
@@ -185,7 +185,7 @@
 
     def handle_failed(self, now: float, event: EngineFailed) -> None:
         """Resume the stream, place the call again, or record that its outcome is unknown."""
-        call = self._call_of(event.key)
+        call = self._current_call(event.key)
         if call is None or self._attempt is None:
             return
         resumable = event.fault is EngineFault.BROKEN and self._attempt.resumes_left > 0
@@ -224,7 +224,7 @@
             self._reply_to_waiters(key.call_number, self._unknown_error())
             self._advance(now)
 
-    def _call_of(self, key: AttemptKey) -> CallState | None:
+    def _current_call(self, key: AttemptKey) -> CallState | None:
         """Return the call of an attempt; None unless that is its latest one and still running."""
         if not self.is_leading():
             return None
--- a/yarrowwall/standalone/core/program/owner.py
+++ b/yarrowwall/standalone/core/program/owner.py
@@ -193,14 +193,14 @@
         else:
             self.timers.set(_IDLE, now + self._limits.idle_limit)
 
-    def is_quiet(self) -> bool:
+    def is_idle(self) -> bool:
         """Return whether no call runs, no request waits and all proposed entries are chosen."""
         runs = self._attempt is not None or self._is_queued
         return self.log.settled() and not runs and not self.pending
 
     def may_unload(self, now: float) -> bool:
         """Return whether this owner can be dropped from memory without losing work."""
-        if not self.is_quiet() or self.state.unsettled_call() is not None:
+        if not self.is_idle() or self.state.unsettled_call() is not None:
             return False
         if self.state.ended is not None:
             return self.state.is_complete() and SETTLE not in self.timers
--- a/yarrowwall/standalone/core/program/registry.py
+++ b/yarrowwall/standalone/core/program/registry.py
@@ -253,7 +253,7 @@
 
     def is_idle(self) -> bool:
         """Return whether no program has running calls, pending requests or unchosen entries."""
-        return all(owner.is_quiet() for owner in self._owners.values())
+        return all(owner.is_idle() for owner in self._owners.values())
 
     def validate_state(self) -> None:
         """Check the invariants of every program's state; for tests.
--- a/yarrowwall/standalone/core/program/state.py
+++ b/yarrowwall/standalone/core/program/state.py
@@ -100,7 +100,7 @@
         """
         if entry.program_id != self.program_id:
             raise InvariantError(
-                f"log of {self.program_id} holds an entry of {entry.program_id}: mixed history"
+                f"the log of {self.program_id} contains an entry of {entry.program_id}"
             )
         match entry:
             case ProgramOpened():
@@ -222,9 +222,9 @@
         :raises InvariantError: if one is violated.
         """
         if self.available_tokens() < 0:
-            raise InvariantError(f"{self.program_id} spent or reserved beyond its budget")
+            raise InvariantError(f"{self.program_id} spent or reserved more than its budget")
         if self.reserved_tokens < 0:
             raise InvariantError(f"{self.program_id} released more than it reserved")
         earlier = [call for number, call in self.calls.items() if number < len(self.calls)]
         if any(not call.is_settled() for call in earlier):
-            raise InvariantError(f"{self.program_id} has a call behind an unsettled one")
+            raise InvariantError(f"{self.program_id} has a call after an unsettled call")
--- a/yarrowwall/standalone/core/scheduling/policies.py
+++ b/yarrowwall/standalone/core/scheduling/policies.py
@@ -132,9 +132,9 @@
         pending = engine.pending_prefill() / self._profile.prefill_tokens_per_second
         spill = 0.0 if engine.machine.zone == self._zone else self._weights.spill_seconds
         wait = self._batch_wait(engine) + self._batch_slowdown(call, engine)
-        return wait + pending + prefill + spill + self._lasting_cost(call, engine, prefill, now)
+        return wait + pending + prefill + spill + self._future_cost(call, engine, prefill, now)
 
-    def _lasting_cost(
+    def _future_cost(
         self, call: WaitingCall, engine: EngineView, prefill: float, now: float
     ) -> float:
         """Return the cost that a placement causes for later calls.
@@ -183,4 +183,4 @@
             return LeastLoaded()
         case "sticky":
             return Sticky()
-    raise ValueError(f"no policy {name!r}; one of {', '.join(POLICY_NAMES)}")
+    raise ValueError(f"unknown policy {name!r}; choose from {', '.join(POLICY_NAMES)}")
