--- a/yarrowwall/standalone/core/configuration/documents.py
+++ b/yarrowwall/standalone/core/configuration/documents.py
@@ -19,7 +19,7 @@
     FetchedDocuments,
     StoreDocument,
 )
-from yarrowwall.standalone.core.configuration.models import SPREAD_DOCUMENTS
+from yarrowwall.standalone.core.configuration.models import DISTRIBUTED_DOCUMENTS
 from yarrowwall.standalone.core.effects import SendToPeer
 from yarrowwall.standalone.core.journal.proposer import ReplicaGroups
 from yarrowwall.standalone.core.outbox import Outbox
@@ -112,7 +112,9 @@
 
     def replicate(self, document: Document) -> None:
         """Store a document on a majority of replicas, then put it in force."""
-        if document.name not in SPREAD_DOCUMENTS or document.version <= self.version(document.name):
+        if document.name not in DISTRIBUTED_DOCUMENTS or document.version <= self.version(
+            document.name
+        ):
             return
         replication = self._replications.get(document.name)
         if replication is not None and replication.document.version >= document.version:
--- a/yarrowwall/standalone/core/configuration/models.py
+++ b/yarrowwall/standalone/core/configuration/models.py
@@ -10,7 +10,7 @@
 CONTROLLER_LEASE = "controller-lease"
 PLAN_PREFIX = "plans/"
 #: Documents that are distributed to every node.
-SPREAD_DOCUMENTS = (CONFIGURATION, MACHINES, SHARD_MAP)
+DISTRIBUTED_DOCUMENTS = (CONFIGURATION, MACHINES, SHARD_MAP)
 #: Number of operation ids kept in a document, to tell a lost answer from a lost write.
 KEPT_OPERATIONS = 64
 
