--- a/yarrowwall/standalone/core/configuration/operator.py
+++ b/yarrowwall/standalone/core/configuration/operator.py
@@ -1,4 +1,4 @@
-"""Operators' commands: plans are proposed, confirmed, amended or rejected."""
+"""Runs operators' commands: plans are proposed, confirmed, amended or rejected."""
 
 import json
 from collections.abc import Callable
@@ -27,10 +27,10 @@
     ShardReplica,
 )
 from yarrowwall.standalone.core.configuration.plans import (
+    append_operation,
     confirmed_configuration,
     describe_change,
     make_plan,
-    remember,
 )
 from yarrowwall.standalone.core.configuration.transactions import (
     TransactionOutcome,
@@ -39,7 +39,7 @@
 )
 from yarrowwall.standalone.core.effects import ReplyToOperator
 from yarrowwall.standalone.core.exceptions import ConfigurationError, StalePlanError
-from yarrowwall.standalone.core.journal.reconfiguration import parse_map, replaced, with_operation
+from yarrowwall.standalone.core.journal.reconfiguration import joint_map, parse_map, with_operation
 from yarrowwall.standalone.core.outbox import Outbox
 
 _NOT_RUN = "the platform does not answer; nothing was changed"
@@ -47,25 +47,25 @@
 
 
 class UnknownPlanError(ConfigurationError):
-    """There is no plan of the id."""
+    """No plan has the given id."""
 
 
 def includes_operation(body: bytes, operation_id: str) -> bool:
-    """Return whether an object's body remembers an operation."""
+    """Return whether an object's body lists an operation."""
     return operation_id in json.loads(body).get("operations", [])
 
 
 def parse_configuration(document: Document | None) -> Configuration:
-    """Return the configuration of a document; the empty one without it."""
+    """Return the configuration in a document; an empty one without a document."""
     if document is None:
         return Configuration()
     return Configuration.model_validate_json(document.body)
 
 
-class OperatorDesk:
-    """Carries out operators' commands against the platform.
+class OperatorCommandRunner:
+    """Runs operators' commands against the platform's store.
 
-    :param first_map: the settings' shard map, in force until the platform has one.
+    :param first_map: shard map of the settings, used until the platform has one.
     """
 
     def __init__(
@@ -79,11 +79,11 @@
         self._transactions = transactions
         self._documents = documents
         self._outbox = outbox
-        self._awaiting_force: dict[str, tuple[int, OperatorReply]] = {}
+        self._awaiting_in_force: dict[str, tuple[int, OperatorReply]] = {}
         self._unanswered: set[str] = set()
 
     def is_idle(self) -> bool:
-        """Return whether every command has its reply."""
+        """Return whether every command has got its reply."""
         return not self._unanswered
 
     def handle(self, now: float, request_id: str, command: OperatorCommand) -> None:
@@ -160,25 +160,25 @@
         )
 
     def _show(self, now: float, request_id: str, plan_id: str) -> None:
-        def leave(document: Document | None) -> None:
-            _plan_of(document, plan_id)
+        def check_exists(document: Document | None) -> None:
+            _parse_plan(document, plan_id)
 
         def finish(result: TransactionResult) -> None:
             if result.outcome is TransactionOutcome.DONE:
-                plan = _plan_of(result.document, plan_id)
+                plan = _parse_plan(result.document, plan_id)
                 self._reply(request_id, OperatorReply(OperatorOutcome.DONE, plan=plan))
             else:
                 self._reply_failure(request_id, result)
 
-        self._run(now, request_id, PLAN_PREFIX + plan_id, leave, finish)
+        self._run(now, request_id, PLAN_PREFIX + plan_id, check_exists, finish)
 
     # Confirming
 
     def _confirm(self, now: float, request_id: str, plan_id: str) -> None:
-        """Mark the plan confirmed, then swap the configuration it was computed on."""
+        """Mark the plan as confirmed, then write the new configuration."""
 
         def mark(document: Document | None) -> bytes | None:
-            plan = _plan_of(document, plan_id)
+            plan = _parse_plan(document, plan_id)
             if plan.status == "rejected":
                 raise ConfigurationError(f"plan {plan_id} was rejected")
             if plan.status == "confirmed":
@@ -187,7 +187,7 @@
 
         def finish(result: TransactionResult) -> None:
             if result.outcome is TransactionOutcome.DONE:
-                plan = _plan_of(result.document, plan_id)
+                plan = _parse_plan(result.document, plan_id)
                 self._swap_configuration(now, request_id, plan)
             else:
                 self._reply_failure(request_id, result)
@@ -195,7 +195,7 @@
         self._run(now, f"mark/{request_id}", PLAN_PREFIX + plan_id, mark, finish)
 
     def _swap_configuration(self, now: float, request_id: str, plan: Plan) -> None:
-        # Fixed by the plan: two operators who confirm it apply it once.
+        # Derived from the plan id, so that two operators who confirm the plan apply it once.
         operation_id = f"confirm/{plan.plan_id}"
 
         def swap(document: Document | None) -> bytes:
@@ -205,7 +205,7 @@
 
         def finish(result: TransactionResult) -> None:
             if result.outcome is TransactionOutcome.DONE and result.document is not None:
-                self._accept(request_id, plan, result.document)
+                self._await_in_force(request_id, plan, result.document)
             else:
                 self._reply_failure(request_id, result)
 
@@ -218,20 +218,20 @@
             finish,
         )
 
-    def _accept(self, request_id: str, plan: Plan, document: Document) -> None:
-        """Tell the operator once a majority of replicas stored the configuration."""
+    def _await_in_force(self, request_id: str, plan: Plan, document: Document) -> None:
+        """Reply to the operator once a majority of replicas has stored the configuration."""
         message = f"configuration {document.version} is accepted"
         reply = OperatorReply(OperatorOutcome.DONE, message, plan, document.version)
-        self._awaiting_force[request_id] = (document.version, reply)
-        self._documents.secure(document)
+        self._awaiting_in_force[request_id] = (document.version, reply)
+        self._documents.replicate(document)
         self.handle_in_force()
 
     def handle_in_force(self) -> None:
-        """Reply to confirmations whose configuration has come into force here."""
+        """Reply to confirmations whose configuration is now in force on this node."""
         version = self._documents.version(CONFIGURATION)
-        for request_id, (wanted, reply) in list(self._awaiting_force.items()):
+        for request_id, (wanted, reply) in list(self._awaiting_in_force.items()):
             if version >= wanted:
-                del self._awaiting_force[request_id]
+                del self._awaiting_in_force[request_id]
                 self._reply(request_id, reply)
 
     # Amending and rejecting
@@ -250,7 +250,7 @@
     def _reject(self, now: float, request_id: str, plan_id: str) -> None:
         def finish(result: TransactionResult) -> None:
             if result.outcome is TransactionOutcome.DONE:
-                plan = _plan_of(result.document, plan_id)
+                plan = _parse_plan(result.document, plan_id)
                 self._reply(request_id, OperatorReply(OperatorOutcome.DONE, plan=plan))
             else:
                 self._reply_failure(request_id, result)
@@ -265,7 +265,7 @@
         finish: Callable[[TransactionResult], None],
     ) -> None:
         def mark(document: Document | None) -> bytes | None:
-            plan = _plan_of(document, plan_id)
+            plan = _parse_plan(document, plan_id)
             if plan.status == "confirmed":
                 raise ConfigurationError(f"plan {plan_id} was confirmed")
             return (
@@ -277,7 +277,7 @@
     # Replicas
 
     def _replace_replica(self, now: float, request_id: str, command: ReplaceReplica) -> None:
-        # Fixed by the replicas: a command that is given again changes the map once.
+        # Derived from the replica ids, so that a repeated command changes the map once.
         operation_id = f"replace/{command.old_replica_id}/{command.new_replica_id}"
         new = ShardReplica(
             replica_id=command.new_replica_id, node_id=command.node_id, zone=command.zone
@@ -285,7 +285,7 @@
 
         def change(document: Document | None) -> bytes:
             current = parse_map(document) if document else self._first_map
-            return with_operation(replaced(current, command.old_replica_id, new), operation_id)
+            return with_operation(joint_map(current, command.old_replica_id, new), operation_id)
 
         def finish(result: TransactionResult) -> None:
             if result.outcome is TransactionOutcome.DONE:
@@ -304,10 +304,10 @@
         )
 
 
-def _plan_of(document: Document | None, plan_id: str) -> Plan:
-    """Return the plan of a document.
+def _parse_plan(document: Document | None, plan_id: str) -> Plan:
+    """Return the plan in a document.
 
-    :raises UnknownPlanError: if there is none.
+    :raises UnknownPlanError: if there is no document.
     """
     if document is None:
         raise UnknownPlanError(f"no plan {plan_id}")
@@ -315,16 +315,16 @@
 
 
 def _with_status(plan: Plan, status: str, operation_id: str) -> bytes:
-    """Return the body of a plan with another status."""
-    operations = remember(plan.operations, operation_id)
+    """Return the body of a plan with a new status."""
+    operations = append_operation(plan.operations, operation_id)
     changed = plan.model_copy(update={"status": status, "operations": operations})
     return changed.model_dump_json().encode()
 
 
 def check_not_stale(document: Document | None, plan: Plan) -> None:
-    """Refuse a plan computed on another version than the platform's.
+    """Check that a plan was computed on the platform's current configuration.
 
-    :raises StalePlanError: if the version moved on.
+    :raises StalePlanError: if the version has changed since.
     """
     version = document.version if document else 0
     if version == plan.base_version:
--- a/yarrowwall/standalone/core/lookups.py
+++ b/yarrowwall/standalone/core/lookups.py
@@ -1,7 +1,7 @@
-"""Lookups at record servers: urgent first, each answered once.
+"""Lookups at record servers: urgent ones first, each answered once.
 
-A lookup only reads, so it may be tried again at another server. A part of
-every server's places is kept for urgent lookups: routine ones never fill it.
+A lookup only reads, so it can be retried at another server. Some slots of every
+server are reserved for urgent lookups.
 """
 
 from collections import deque
@@ -14,17 +14,17 @@
 from yarrowwall.standalone.core.events import LookupAnswered, LookupRequested
 from yarrowwall.standalone.core.outbox import Outbox
 
-#: Lookups of this node in flight at one server.
-PLACES_PER_SERVER = 16
-#: Places of each server that only urgent lookups take.
-URGENT_PLACES = 4
-#: Servers that one lookup is tried at.
-MOST_TRIES = 3
-#: Routine lookups that wait; more are refused at once.
-MOST_WAITING = 1_000
-#: Seconds a server gets nothing after a failure.
+#: Limit of this node's lookups in flight at one server.
+SLOTS_PER_SERVER = 16
+#: Slots of each server that are reserved for urgent lookups.
+URGENT_SLOTS = 4
+#: Limit of servers that are tried for one lookup.
+MAX_ATTEMPTS = 3
+#: Limit of waiting lookups of each priority; further ones are refused at once.
+MAX_WAITING = 1_000
+#: Seconds for which a server gets no lookups after a failure.
 AVOID_SECONDS = 2.0
-#: Seconds after which a refused caller may come back.
+#: Seconds after which a refused caller may retry.
 RETRY_AFTER = 1.0
 
 
@@ -42,8 +42,8 @@
     server_id: str = ""
 
 
-class LookupDesk:
-    """The lookups that entered at this node."""
+class LookupDispatcher:
+    """Dispatches the lookups that entered at this node to record servers."""
 
     def __init__(self, zone: str, outbox: Outbox) -> None:
         self._zone = zone
@@ -56,7 +56,7 @@
         self._in_flight: dict[str, _Lookup] = {}
 
     def set_machines(self, machines: Iterable[Machine]) -> None:
-        """Use the record servers of a newer machine list that are not leaving."""
+        """Update the record servers from a newer machine list, without those that are leaving."""
         wanted = {
             machine.machine_id: machine
             for machine in machines
@@ -69,13 +69,13 @@
         self._servers = kept
 
     def is_idle(self) -> bool:
-        """Return whether no lookup waits or runs."""
+        """Return whether no lookup is waiting or in flight."""
         return not self._in_flight and not any(self._waiting.values())
 
     def accept(self, now: float, request: LookupRequested) -> None:
-        """Take a lookup."""
+        """Queue a lookup, or refuse it if too many wait."""
         queue = self._waiting[request.priority]
-        if len(queue) >= MOST_WAITING:
+        if len(queue) >= MAX_WAITING:
             self.refuse(request, "too many lookups wait")
             return
         queue.append(_Lookup(request))
@@ -86,7 +86,7 @@
         self._outbox.emit(ReplyToLookup(request.request_id, None, message, RETRY_AFTER))
 
     def dispatch(self, now: float) -> None:
-        """Send waiting lookups as far as servers have places."""
+        """Send waiting lookups while servers have free slots, urgent ones first."""
         for priority in (Priority.URGENT, Priority.ROUTINE):
             queue = self._waiting[priority]
             while queue:
@@ -96,14 +96,14 @@
                 self._send(queue.popleft(), server)
 
     def _choose(self, now: float, lookup: _Lookup) -> _Server | None:
-        """Return the server with the fewest lookups in flight, of the own zone if it can be."""
-        places = PLACES_PER_SERVER
+        """Return the server with the fewest lookups in flight, preferably in the own zone."""
+        slots = SLOTS_PER_SERVER
         if lookup.request.priority is Priority.ROUTINE:
-            places -= URGENT_PLACES
+            slots -= URGENT_SLOTS
         free = [
             server
             for name, server in self._servers.items()
-            if server.in_flight < places and now >= server.avoid_until and name not in lookup.tried
+            if server.in_flight < slots and now >= server.avoid_until and name not in lookup.tried
         ]
         return min(
             free,
@@ -119,7 +119,7 @@
         self._outbox.emit(SendLookup(lookup.request, lookup.server_id, server.machine.address))
 
     def handle_answer(self, now: float, event: LookupAnswered) -> None:
-        """Pass an answer on, or try another server."""
+        """Relay an answer to the caller, or retry at another server after a failure."""
         lookup = self._in_flight.pop(event.request_id, None)
         if lookup is None:
             return
@@ -131,18 +131,18 @@
         else:
             if server is not None:
                 server.avoid_until = now + AVOID_SECONDS
-            self._try_again(lookup)
+            self._retry(lookup)
         self.dispatch(now)
 
-    def _try_again(self, lookup: _Lookup) -> None:
+    def _retry(self, lookup: _Lookup) -> None:
         others_left = any(name not in lookup.tried for name in self._servers)
-        if others_left and len(lookup.tried) < MOST_TRIES:
+        if others_left and len(lookup.tried) < MAX_ATTEMPTS:
             self._waiting[lookup.request.priority].appendleft(lookup)
         else:
             self.refuse(lookup.request, "no record server answers")
 
-    def give_up_overdue(self, now: float) -> None:
-        """Refuse waiting lookups whose deadline has come."""
+    def refuse_overdue(self, now: float) -> None:
+        """Refuse waiting lookups whose deadline has passed."""
         for queue in self._waiting.values():
             while queue and queue[0].request.deadline <= now:
                 self.refuse(queue.popleft().request, "no record server became free in time")
--- a/yarrowwall/standalone/core/node.py
+++ b/yarrowwall/standalone/core/node.py
@@ -1,8 +1,8 @@
-"""A node: one state machine made of the gateway, owners, replica and the rest.
+"""A node: one state machine composed of the gateway, owners, replica and others.
 
-The driver hands in an event and the time, and carries out the effects that
-come back, in their order. It calls :meth:`NodeCore.handle` with
-:class:`TimeAdvanced` no later than :meth:`NodeCore.next_deadline` says.
+The driver passes in an event with the current time and carries out the returned
+effects in order. It calls :meth:`NodeCore.handle` with :class:`TimeAdvanced` no
+later than :meth:`NodeCore.next_deadline`.
 """
 
 from collections.abc import Callable
@@ -49,7 +49,10 @@
     MachineList,
     ShardMap,
 )
-from yarrowwall.standalone.core.configuration.operator import OperatorDesk, parse_configuration
+from yarrowwall.standalone.core.configuration.operator import (
+    OperatorCommandRunner,
+    parse_configuration,
+)
 from yarrowwall.standalone.core.configuration.transactions import TransactionTable
 from yarrowwall.standalone.core.effects import (
     Drained,
@@ -94,7 +97,7 @@
 from yarrowwall.standalone.core.journal.replica import JournalReplica
 from yarrowwall.standalone.core.journal.service import JournalService
 from yarrowwall.standalone.core.limits import Limits
-from yarrowwall.standalone.core.lookups import LookupDesk
+from yarrowwall.standalone.core.lookups import LookupDispatcher
 from yarrowwall.standalone.core.machines import MachineTable
 from yarrowwall.standalone.core.membership.table import MemberTable
 from yarrowwall.standalone.core.outbox import Outbox
@@ -103,7 +106,7 @@
 from yarrowwall.standalone.core.scheduling.scheduler import Scheduler, SchedulerSettings
 from yarrowwall.standalone.core.timers import Timers
 
-#: Nodes of a zone that watch the platform; the rest learn by gossip.
+#: Number of nodes per zone that watch the platform; the others learn changes by gossip.
 WATCHERS_PER_ZONE = 2
 
 _NOT_SERVING = "this node is starting or stopping"
@@ -120,11 +123,11 @@
 
 @dataclass(frozen=True)
 class NodeSettings:
-    """What a node knows at its start.
+    """Settings of a node at its start.
 
-    :param incarnation: higher than at every earlier start of the node.
-    :param seeds: other nodes to gossip with at first.
-    :param shard_map: the first shard map; newer ones are documents.
+    :param incarnation: number that is higher than at every earlier start of the node.
+    :param seeds: other nodes to start gossip with.
+    :param shard_map: the initial shard map; newer ones are documents.
     """
 
     node_id: str
@@ -167,7 +170,7 @@
             self._outbox,
             lambda request_id, at: self._timers.set(_REQUEST_PREFIX + request_id, at),
             self._run_request,
-            self._answer_owner,
+            self._handle_owner_reply,
         )
         self.owners = OwnerRegistry(
             ballot_holder(self.node_id, settings.incarnation),
@@ -183,7 +186,7 @@
             lambda operation_id, at: self._timers.set(_TRANSACTION_PREFIX + operation_id, at),
         )
         self._transactions = transactions
-        self._operator_desk = OperatorDesk(
+        self._operator_commands = OperatorCommandRunner(
             transactions, self.documents, self._outbox, settings.shard_map
         )
         self._map_coordinator = MapChangeCoordinator(self.node_id, transactions, self._outbox)
@@ -200,17 +203,17 @@
                 self._outbox,
                 lambda program_id: self.members.owner_of(program_id, self._now),
             )
-        self.lookups = LookupDesk(settings.zone, self._outbox)
+        self.lookups = LookupDispatcher(settings.zone, self._outbox)
         self._shard_map = settings.shard_map
         self._machines = MachineTable(self.scheduler, self.lookups, self._outbox)
         self._is_watching = False
         self._handlers = self._event_handlers()
         self._peer_handlers = self._message_handlers()
 
-    # The driver's side
+    # Interface for the driver
 
     def handle(self, now: float, event: object) -> list[Effect]:
-        """Take one event.
+        """Handle one event.
 
         :returns: the effects to carry out, in order.
         """
@@ -221,7 +224,7 @@
         return self._finish(now)
 
     def next_deadline(self) -> float | None:
-        """Return when :class:`TimeAdvanced` is due; None if nothing waits."""
+        """Return the time at which :class:`TimeAdvanced` is due; None without any timer."""
         deadlines = [self._timers.next_deadline(), self.owners.next_deadline()]
         if self.journal is not None:
             deadlines.append(self.journal.sweeps.next_deadline())
@@ -232,7 +235,7 @@
         return self.members.address_of(node_id)
 
     def is_ready(self) -> bool:
-        """Return whether requests are taken."""
+        """Return whether this node accepts requests."""
         return self.documents.is_ready and not self.is_draining()
 
     def is_draining(self) -> bool:
@@ -252,7 +255,7 @@
         return self._machines.machines
 
     def _finish(self, now: float) -> list[Effect]:
-        """Handle messages to this node itself and settle replies; return the rest."""
+        """Handle messages to this node itself and settle replies; return the other effects."""
         effects: list[Effect] = []
         pending = self._outbox.take()
         while pending:
@@ -266,7 +269,7 @@
         return effects
 
     def _is_wanted(self, now: float, effect: Effect) -> bool:
-        """Return False for a reply that nobody waits for any more."""
+        """Return False for a reply to a request that has no waiting caller."""
         if not isinstance(effect, ReplyToCaller):
             return True
         return self.gateway.settle(now, effect.request_id, effect.reply)
@@ -287,7 +290,7 @@
             EngineUnreachable: lambda now, event: self.scheduler.avoid(event.engine_id, now),
             CacheBlocksChanged: lambda now, event: self.scheduler.handle_cache_event(event),
             EngineOrdered: lambda now, event: self._controller.handle_ordered(event),
-            PlatformDocument: lambda now, event: self._learn_document(now, event.document),
+            PlatformDocument: lambda now, event: self._handle_document(now, event.document),
             PlatformRead: self._handle_platform_read,
             PlatformWritten: self._transactions.handle_written,
             OperatorRequest: self._handle_operator,
@@ -306,10 +309,10 @@
             self.journal.start(now)
 
     def _apply_stored_map(self) -> None:
-        """Use the newest shard map this replica stored.
+        """Use the newest shard map that this replica has stored.
 
-        It may not be on a majority of replicas yet. That does no harm: the
-        platform has it, and a newer map is never less strict than an older one.
+        It may not be on a majority of replicas yet. That is safe: the platform has
+        it, and a newer map is never less strict than an older one.
         """
         stored = self.journal.replica.documents() if self.journal is not None else []
         for document in stored:
@@ -329,12 +332,12 @@
             self.lookups.refuse(event, _NOT_SERVING)
 
     def _handle_operator(self, now: float, event: OperatorRequest) -> None:
-        """Carry out a command; a draining node could be gone before its reply."""
+        """Run a command; refuse it while draining, since the node could exit before the reply."""
         if self.is_draining():
             reply = OperatorReply(OperatorOutcome.NOT_RUN, _NOT_SERVING)
             self._outbox.emit(ReplyToOperator(event.request_id, reply))
         else:
-            self._operator_desk.handle(now, event.request_id, event.command)
+            self._operator_commands.handle(now, event.request_id, event.command)
 
     def _handle_engine_failed(self, now: float, event: EngineFailed) -> None:
         self.owners.handle_failed(now, event)
@@ -342,10 +345,10 @@
     def _handle_platform_read(self, now: float, event: PlatformRead) -> None:
         self._transactions.handle_read(now, event)
         if event.document is not None:
-            self._learn_document(now, event.document)
+            self._handle_document(now, event.document)
 
     def _handle_drain(self, now: float, event: DrainRequested) -> None:
-        """Leave: tell the others at once, then wait for what runs."""
+        """Start draining: announce it to other nodes, then wait for running work to finish."""
         self.members.set_status(MemberStatus.LEAVING)
         self._gossip(now)
         self._timers.set(_DRAIN, now + _DRAIN_INTERVAL)
@@ -447,7 +450,7 @@
         if key == _GOSSIP:
             self._gossip_round(now)
         elif key == _DOCUMENTS:
-            self._retry_documents(now)
+            self._retry_replication(now)
         elif key == _CONTROLLER:
             self._control(now)
         elif key == _DRAIN:
@@ -456,13 +459,13 @@
             self.gateway.handle_timer(now, key.removeprefix(_REQUEST_PREFIX))
         elif key.startswith(_TRANSACTION_PREFIX):
             self._transactions.handle_timer(now, key.removeprefix(_TRANSACTION_PREFIX))
-        # _PLACE only wakes the node: calls are placed after every event.
+        # _PLACE only triggers an event, since calls are placed after every event.
 
     def _gossip_round(self, now: float) -> None:
         self._timers.set(_GOSSIP, now + self._limits.gossip_interval)
         self.members.begin_round()
         self.members.forget_dead(now)
-        self.lookups.give_up_overdue(now)
+        self.lookups.refuse_overdue(now)
         self.lookups.dispatch(now)
         self._gossip(now)
         self._update_watch(now)
@@ -483,7 +486,7 @@
             self._is_watching = wanted
             self._outbox.emit(WatchPlatform(wanted))
 
-    def _retry_documents(self, now: float) -> None:
+    def _retry_replication(self, now: float) -> None:
         if self.documents.has_unfinished():
             self.documents.retry()
         if self._copier is not None:
@@ -500,7 +503,7 @@
 
     def _check_drained(self, now: float) -> None:
         callers_served = self.gateway.open_count() == 0 and self.lookups.is_idle()
-        if callers_served and self._operator_desk.is_idle() and self.owners.is_idle():
+        if callers_served and self._operator_commands.is_idle() and self.owners.is_idle():
             self._outbox.emit(Drained())
         else:
             self._timers.set(_DRAIN, now + _DRAIN_INTERVAL)
@@ -522,16 +525,16 @@
 
     # Documents
 
-    def _learn_document(self, now: float, document: Document) -> None:
-        self.documents.secure(document)
+    def _handle_document(self, now: float, document: Document) -> None:
+        self.documents.replicate(document)
 
     def _document_changed(self, document: Document) -> None:
         if document.name == MACHINES:
-            self._machines.take(MachineList.model_validate_json(document.body))
+            self._machines.update(MachineList.model_validate_json(document.body))
         elif document.name == SHARD_MAP:
             self._map_changed(parse_map(document))
         elif document.name == CONFIGURATION:
-            self._operator_desk.handle_in_force()
+            self._operator_commands.handle_in_force()
 
     def _map_changed(self, shard_map: ShardMap) -> None:
         self._shard_map = shard_map
@@ -557,13 +560,15 @@
     def _run_request(self, now: float, route: StreamRoute, request: object) -> None:
         self.owners.handle_request(now, route, request)  # type: ignore[arg-type]
 
-    def _answer_owner(self, now: float, program_id: str, request: object, reply: object) -> None:
+    def _handle_owner_reply(
+        self, now: float, program_id: str, request: object, reply: object
+    ) -> None:
         self.owners.handle_owner_reply(now, program_id, request, reply)  # type: ignore[arg-type]
 
     def validate_state(self) -> None:
-        """Check the invariants of every part; for tests.
+        """Check the invariants of the owners and the journal; for tests.
 
-        :raises InvariantError: if one does not hold.
+        :raises InvariantError: if one is violated.
         """
         self.owners.validate_state()
         if self.journal is not None:
--- a/yarrowwall/standalone/core/program/family.py
+++ b/yarrowwall/standalone/core/program/lifecycle.py
@@ -1,4 +1,4 @@
-"""Opening and ending a program, and its budget between parent and children."""
+"""Opens and ends a program, and shares its budget between parent and children."""
 
 from yarrowwall.messages.entries import (
     AttemptLost,
@@ -24,21 +24,21 @@
     CancelAttempt,
 )
 from yarrowwall.standalone.core.events import AttemptKey, EngineFault
-from yarrowwall.standalone.core.program.holds import CacheHolder
+from yarrowwall.standalone.core.program.cache_release import CacheReleaser
 from yarrowwall.standalone.core.program.requests import PendingRequest
 from yarrowwall.standalone.core.program.state import (
     CallState,
     CallStatus,
 )
 
-#: Timer key of the next look whether the family is settled.
+#: Timer key of the next check whether parent and children are settled.
 SETTLE = "settle"
-#: Seconds between looks whether the end of a program is chosen.
+#: Seconds between checks whether the end of a program is chosen.
 SETTLE_POLL = 0.02
 
 
-class FamilyMember(CacheHolder):
-    """Draws the budget from the parent, gives budgets to children, ends with them."""
+class ProgramLifecycle(CacheReleaser):
+    """Reserves budget at the parent and for children; ends the children with the program."""
 
     def _open(self, now: float, pending: PendingRequest, request: OpenProgram) -> None:
         if self.state.opened is not None:
@@ -60,7 +60,7 @@
         )
 
     def handle_owner_reply(self, now: float, request: Request, reply: Reply) -> None:
-        """Take the reply of the parent's or a child's owner to ``ask_owner``."""
+        """Handle the reply of the parent's or a child's owner to ``ask_owner``."""
         if not self.is_leading():
             return
         match request:
@@ -113,7 +113,7 @@
             self._reply(pending, self._summary())
 
     def _end_now(self, now: float, reason: EndReason) -> None:
-        """End the program; a call in progress is cancelled, its outcome unknown."""
+        """End the program; cancel a call in progress, whose outcome stays unknown."""
         call = self.state.unsettled_call()
         number = len(self.state.calls)
         entries: list[Entry] = []
@@ -123,14 +123,14 @@
         self.propose(now, entries)
         if entries[:-1] and call is not None:
             self._cancel_attempt(call)
-            self._settle_conversation(number, self._unknown_error())
+            self._reply_to_waiters(number, self._unknown_error())
         self._refuse_waiting(now, ErrorType.PROGRAM_ENDED, "the program ended", 0.0)
         for number in list(self._out_of_order):
             self._refuse_out_of_order(
                 now, number, ErrorType.PROGRAM_ENDED, "the program ended", 0.0
             )
         self._release_all(now)
-        self._finish_family(now)
+        self._settle_family(now)
 
     def _cancel_attempt(self, call: CallState) -> None:
         key = AttemptKey(self.program_id, call.accepted.call_number, call.attempt)
@@ -138,11 +138,11 @@
         self._context.attempt_ended(key, EngineFault.BROKEN)
         self.after_chosen(CancelAttempt(key, call.engine_address))
 
-    def _finish_family(self, now: float) -> None:
+    def _settle_family(self, now: float) -> None:
         """Settle the budget with the parent and end the children.
 
-        Others act on what they are asked, so nothing is asked before the end
-        is chosen: an owner that was deposed meanwhile has not ended anything.
+        Other owners act on these requests at once, so none is sent before the
+        end is chosen: if this owner has been deposed, the program has not ended.
         """
         opened = self.state.opened
         parent = opened.parent_program_id if opened is not None else None
--- a/yarrowwall/standalone/core/program/owner.py
+++ b/yarrowwall/standalone/core/program/owner.py
@@ -1,4 +1,4 @@
-"""The owner of a program: takes its requests and keeps its calls in order."""
+"""The owner of a program: handles its requests and runs its calls in order."""
 
 from yarrowwall.messages.entries import (
     EndReason,
@@ -19,9 +19,9 @@
     StreamRoute,
 )
 from yarrowwall.standalone.core.program.attempts import RESUME, AttemptRunner
-from yarrowwall.standalone.core.program.family import SETTLE
-from yarrowwall.standalone.core.program.holds import RELEASE
+from yarrowwall.standalone.core.program.cache_release import RELEASE
 from yarrowwall.standalone.core.program.journaled import RETRANSMIT
+from yarrowwall.standalone.core.program.lifecycle import SETTLE
 from yarrowwall.standalone.core.program.prompts import request_digest
 from yarrowwall.standalone.core.program.requests import (
     ORDER_PREFIX,
@@ -41,11 +41,11 @@
 class ProgramOwner(AttemptRunner):
     """Runs one program.
 
-    Requests that come while the log is being recovered wait until it leads.
+    Requests that arrive while the log is being recovered wait until this owner leads.
     """
 
     def handle_request(self, now: float, route: StreamRoute, request: Request) -> None:
-        """Take a request; its reply may come much later."""
+        """Handle a request; the reply follows as an effect, possibly much later."""
         if route.request_id in self.pending:
             return
         pending = PendingRequest(route, request)
@@ -54,21 +54,21 @@
             self._admit_request(now, pending)
 
     def recovered(self, now: float) -> None:
-        """Take up what the log says is in progress, then the waiting requests."""
-        self._touch(now)
+        """Continue the work in progress according to the log, then admit the waiting requests."""
+        self._reset_timers(now)
         call = self.state.unsettled_call()
         if call is not None and call.status is CallStatus.DISPATCHED:
             self._resume_attempt(now, call)
         if self.state.ended is not None:
             self._release_all(now)
-            self._finish_family(now)
+            self._settle_family(now)
         for pending in list(self.pending.values()):
             self._admit_request(now, pending)
         if call is not None and call.status is CallStatus.ACCEPTED:
             self._enqueue(now, call.accepted)
 
     def _admit_request(self, now: float, pending: PendingRequest) -> None:
-        self._touch(now)
+        self._reset_timers(now)
         match pending.request:
             case OpenProgram():
                 self._open(now, pending, pending.request)
@@ -101,7 +101,7 @@
             self._admit(now, pending, request)
 
     def _join(self, pending: PendingRequest, request: SubmitCall, call: CallState) -> None:
-        """Answer a repeated call number from the record, or wait for its outcome."""
+        """Answer a repeated call number from the log, or wait for the call's outcome."""
         if call.accepted.digest != request_digest(request):
             message = f"call {request.call_number} was made with another body"
             self._reply(pending, ErrorReply(ErrorType.CALL_CONFLICT, message, 0.0))
@@ -110,12 +110,12 @@
         elif call.status is CallStatus.UNKNOWN:
             self._reply(pending, self._unknown_error())
         else:
-            self._conversation(request.call_number).routes.append(pending.route)
+            self._waiters_of(request.call_number).routes.append(pending.route)
             if self._attempt is not None:
                 self.after_chosen(AttachStream(self._attempt.key, pending.route))
 
     def _admit(self, now: float, pending: PendingRequest, request: SubmitCall) -> None:
-        """Queue the next call; a later one waits for the earlier ones."""
+        """Queue the next call; a later call waits for the earlier ones."""
         is_next = request.call_number == self.state.next_call_number()
         if not is_next or self.state.unsettled_call() is not None:
             self._wait_for_order(now, pending, request)
@@ -137,7 +137,7 @@
             message = f"call {request.call_number} was made with another body"
             self._reply(pending, ErrorReply(ErrorType.CALL_CONFLICT, message, 0.0))
             return
-        self._conversation(request.call_number).routes.append(pending.route)
+        self._waiters_of(request.call_number).routes.append(pending.route)
 
     def _queue_request(self, now: float, pending: PendingRequest, request: SubmitCall) -> None:
         available = self.state.available_tokens()
@@ -148,18 +148,18 @@
             self._refuse(now, pending, ErrorType.BUDGET_EXHAUSTED, message, 0.0)
             return
         self._waiting = pending
-        self._conversation(request.call_number).routes.append(pending.route)
+        self._waiters_of(request.call_number).routes.append(pending.route)
         self._starts_left = self._limits.start_attempts
         self._excluded = frozenset()
         self._enqueue(now, self._accepted_entry(now, request))
 
-    def _touch(self, now: float) -> None:
+    def _reset_timers(self, now: float) -> None:
         self.timers.set(_UNLOAD, now + self._limits.unload_after)
         if self.state.ended is None and self.state.opened is not None:
             self.timers.set(_IDLE, self.state.last_activity + self._limits.idle_limit)
 
     def handle_time(self, now: float) -> None:
-        """Carry out what is due."""
+        """Handle the deadlines that have passed."""
         for key in self.timers.due(now):
             self._handle_deadline(now, key)
 
@@ -177,7 +177,7 @@
         elif key == RELEASE:
             self._retry_releases(now)
         elif key == SETTLE:
-            self._finish_family(now)
+            self._settle_family(now)
         elif key == QUEUE:
             message = "no engine became free in time"
             self._refuse_waiting(now, ErrorType.NOT_RUN, message, RETRY_AFTER)
@@ -193,14 +193,14 @@
         else:
             self.timers.set(_IDLE, now + self._limits.idle_limit)
 
-    def is_quiet(self) -> bool:
-        """Return whether nothing runs here and everything proposed is chosen."""
+    def is_idle(self) -> bool:
+        """Return whether no call runs, no request waits and all proposed entries are chosen."""
         runs = self._attempt is not None or self._is_queued
         return self.log.settled() and not runs and not self.pending
 
     def may_unload(self, now: float) -> bool:
-        """Return whether dropping this owner from memory loses nothing."""
-        if not self.is_quiet() or self.state.unsettled_call() is not None:
+        """Return whether this owner can be dropped from memory without losing work."""
+        if not self.is_idle() or self.state.unsettled_call() is not None:
             return False
         if self.state.ended is not None:
             return self.state.is_complete() and SETTLE not in self.timers
--- a/yarrowwall/standalone/core/program/requests.py
+++ b/yarrowwall/standalone/core/program/requests.py
@@ -1,4 +1,4 @@
-"""Requests of a program: who waits for what, replies and refusals."""
+"""Open requests of a program, with their replies and refusals."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -28,11 +28,11 @@
 )
 from yarrowwall.standalone.core.scheduling.types import WaitingCall
 
-#: Seconds after which a caller may repeat a request that was refused.
+#: Seconds after which a caller may retry a refused request.
 RETRY_AFTER = 1.0
-#: Timer key of the longest wait for an engine.
+#: Timer key of the deadline of a call that waits for an engine.
 QUEUE = "queue"
-#: Prefix of the timer keys of calls that wait for earlier ones.
+#: Prefix of the timer keys of calls that wait for earlier calls.
 ORDER_PREFIX = "order/"
 
 
@@ -46,13 +46,13 @@
 
 @dataclass(frozen=True)
 class OwnerContext:
-    """What an owner uses of its node.
+    """Services of the node that a program's owner uses.
 
-    :param enqueue: hands a call to the scheduler.
-    :param withdraw: takes a waiting call back from the scheduler.
-    :param attempt_ended: tells the scheduler that an attempt left its engine.
+    :param enqueue: adds a call to the scheduler's queue.
+    :param withdraw: removes a program's waiting call from the scheduler's queue.
+    :param attempt_ended: notifies the scheduler that an attempt has ended.
     :param ask_owner: sends a request to another program's owner; the reply
-        comes back to :meth:`ProgramOwner.handle_owner_reply`.
+        arrives at :meth:`ProgramOwner.handle_owner_reply`.
     """
 
     limits: Limits
@@ -65,7 +65,7 @@
 
 @dataclass
 class RunningAttempt:
-    """Volatile state of the attempt in progress."""
+    """State of the attempt in progress that is not in the log."""
 
     key: AttemptKey
     resumes_left: int
@@ -73,8 +73,8 @@
 
 
 @dataclass
-class Conversation:
-    """Requests of one call that wait for its outcome."""
+class CallWaiters:
+    """Routes of the requests that wait for the outcome of one call."""
 
     routes: list[StreamRoute] = field(default_factory=list)
 
@@ -82,8 +82,8 @@
 class ProgramRequests(JournaledProgram):
     """Keeps the open requests of one program.
 
-    A request stays in ``pending`` until its final reply has been emitted; if
-    this owner is deposed the node forwards what is there to the new owner.
+    A request stays in ``pending`` until it gets its final reply. If this owner is
+    deposed, the node forwards the pending requests to the new owner.
     """
 
     def __init__(
@@ -93,7 +93,7 @@
         self._context = context
         self.took_higher_ballot = False
         self.pending: dict[str, PendingRequest] = {}
-        self._conversations: dict[int, Conversation] = {}
+        self._waiters_by_call: dict[int, CallWaiters] = {}
         self._out_of_order: dict[int, list[PendingRequest]] = {}
         self._waiting: PendingRequest | None = None
         self._is_queued = False
@@ -103,7 +103,7 @@
         self._opening: PendingRequest | None = None
 
     def _reply(self, pending: PendingRequest, reply: Reply) -> None:
-        """Reply once everything proposed so far is chosen."""
+        """Reply after all entries proposed so far are chosen."""
         self.pending.pop(pending.route.request_id, None)
         self.after_chosen(self._outbox.reply_effect(pending.route, reply))
 
@@ -119,12 +119,12 @@
         message = "the call was sent to an engine and its outcome cannot be known"
         return ErrorReply(ErrorType.OUTCOME_UNKNOWN, message, 0.0)
 
-    def _conversation(self, call_number: int) -> Conversation:
-        return self._conversations.setdefault(call_number, Conversation())
+    def _waiters_of(self, call_number: int) -> CallWaiters:
+        return self._waiters_by_call.setdefault(call_number, CallWaiters())
 
-    def _settle_conversation(self, call_number: int, reply: Reply) -> None:
-        conversation = self._conversations.pop(call_number, None)
-        for route in conversation.routes if conversation else []:
+    def _reply_to_waiters(self, call_number: int, reply: Reply) -> None:
+        waiters = self._waiters_by_call.pop(call_number, None)
+        for route in waiters.routes if waiters else []:
             self.pending.pop(route.request_id, None)
             self.after_chosen(self._outbox.reply_effect(route, reply))
 
@@ -151,10 +151,10 @@
         message: str,
         retry_after: float,
     ) -> None:
-        """Refuse a request at once.
+        """Refuse a request.
 
-        The refusal is journalled first: a copy of the request that reaches
-        another owner later is refused there too, so "not run" stays true.
+        The refusal is journalled before the reply, so a copy of the request that
+        reaches another owner later is refused too and "not run" stays true.
         """
         request = pending.request
         assert isinstance(request, SubmitCall)
@@ -172,7 +172,7 @@
     def _refuse_waiting(
         self, now: float, error_type: ErrorType, message: str, retry_after: float
     ) -> None:
-        """Refuse the call that waits for an engine, and everybody who joined it."""
+        """Refuse the call that waits for an engine, for all requests that wait for it."""
         if self._is_queued:
             self._context.withdraw(self.program_id)
             self._is_queued = False
@@ -182,8 +182,8 @@
         unsettled = self.state.unsettled_call()
         if unsettled is not None:
             number = unsettled.accepted.call_number
-        conversation = self._conversations.pop(number, None)
-        for route in conversation.routes if conversation else []:
+        waiters = self._waiters_by_call.pop(number, None)
+        for route in waiters.routes if waiters else []:
             pending = self.pending.get(route.request_id)
             if pending is not None:
                 self._refuse(now, pending, error_type, message, retry_after)
