--- a/features/processor_bench.py
+++ b/features/processor_bench.py
@@ -29,7 +29,7 @@
 SETTLE_S = 2.5
 #: One request in so many is a turn of eleven events; the others are lookups.
 TURN_EVERY = 3
-TURNS_A_PROGRAM = 9
+REQUESTS_PER_PROGRAM = 9
 KEY = "key-a"
 TENANT = {"name": "alloy", "api_keys": [KEY], "priority": 1, "rate_per_s": 100_000, "burst": 1000}
 
@@ -107,7 +107,7 @@
         with _measured(world) as idle:
             time.sleep(IDLE_S)
         with _measured(world) as busy:
-            requests = _ask(world, has_limits)
+            requests = _run_clients(world, has_limits)
     finally:
         world.stop()
     return {role: _cost(role, idle, busy, requests) for role in ("edge", "storage")}
@@ -123,7 +123,7 @@
     )
 
 
-def _ask(world: PlatformWorld, has_limits: bool) -> int:
+def _run_clients(world: PlatformWorld, has_limits: bool) -> int:
     """Let clients ask for a while; return how many requests were answered with success."""
     counts = [0] * CLIENTS
     end_s = time.monotonic() + BUSY_S
@@ -144,14 +144,14 @@
     connection = world.connect(number % 2)
     headers = {"X_Session_Id": f"s{number}", "X_Finish_Ms": "5000"}
     headers |= {"X_Key": KEY} if has_limits else {}
-    asked = 0
+    sent = 0
     while time.monotonic() < end_s:
-        asked += 1
-        program = {"X_Program_Id": f"p{number}-{asked // TURNS_A_PROGRAM}"}
-        if asked % TURN_EVERY:
+        sent += 1
+        program = {"X_Program_Id": f"p{number}-{sent // REQUESTS_PER_PROGRAM}"}
+        if sent % TURN_EVERY:
             answer = world.ask("lookup", None, connection=connection, **program, **headers)
         else:
-            prompt = f"aa:80,{number * 10_000 + asked:x}:20"
+            prompt = f"aa:80,{number * 10_000 + sent:x}:20"
             turn = {"X_Token_Budget": "9000", "X_Token_Count": "100,40", "X_Prompt_Prefix": prompt}
             answer = world.ask(
                 "talk", b"question", connection=connection, **program, **turn, **headers
@@ -174,13 +174,14 @@
     for name, played in found.items():
         for role in ("edge", "storage"):
             costs = [one[role] for one in played]
-            told = [
-                _told(field, [getattr(cost, field) for cost in costs]) for field in Cost._fields
+            figures = [
+                _format_figures(field, [getattr(cost, field) for cost in costs])
+                for field in Cost._fields
             ]
-            click.echo(f"{name} {role}: {', '.join(told)}")
+            click.echo(f"{name} {role}: {', '.join(figures)}")
 
 
-def _told(name: str, values: list[float]) -> str:
+def _format_figures(name: str, values: list[float]) -> str:
     return f"{name} {statistics.median(values):.4g} ({min(values):.4g} to {max(values):.4g})"
 
 
--- a/features/run.py
+++ b/features/run.py
@@ -24,11 +24,11 @@
 from behave.model import Feature, Scenario
 from behave.parser import parse_file
 
-from features.support.processes import PLACE_VARIABLE
+from features.support.processes import PORT_RANGE_VARIABLE
 
 ROOT = Path(__file__).parent.parent
 KNOWN_RED = ROOT / "KNOWN-RED.txt"
-MOST_KNOWN_RED = 3
+MAX_KNOWN_RED = 3
 #: Tags of scenarios that start processes of their own.
 SYSTEM_TAGS = {
     "own_system",
@@ -60,7 +60,7 @@
     """
 
     number: int
-    places: list[str]
+    locations: list[str]
     names: list[str]
     starts_machines: bool
 
@@ -82,8 +82,8 @@
     """Return the scenario names that may fail."""
     lines = [line for line in KNOWN_RED.read_text().splitlines() if line.strip()]
     names = [line.partition("|")[0].strip() for line in lines if not line.startswith("#")]
-    if len(names) > MOST_KNOWN_RED:
-        raise SystemExit(f"{KNOWN_RED.name} lists more than {MOST_KNOWN_RED} scenarios")
+    if len(names) > MAX_KNOWN_RED:
+        raise SystemExit(f"{KNOWN_RED.name} lists more than {MAX_KNOWN_RED} scenarios")
     return names
 
 
@@ -98,9 +98,9 @@
             jobs.append(Job(len(jobs), [str(path)], names, starts_machines=True))
             continue
         for scenario in scenarios:
-            place = f"{path}:{scenario.line}"
+            location = f"{path}:{scenario.line}"
             jobs.append(
-                Job(len(jobs), [place], [scenario.name], _starts_machines(feature, scenario))
+                Job(len(jobs), [location], [scenario.name], _starts_machines(feature, scenario))
             )
     return jobs
 
@@ -119,9 +119,9 @@
         command += ["--format", "plain", "--no-timings", "--logging-level", "ERROR"]
         try:
             done = subprocess.run(
-                [*command, *job.places],
+                [*command, *job.locations],
                 cwd=ROOT,
-                env={**os.environ, PLACE_VARIABLE: str(job.number)},
+                env={**os.environ, PORT_RANGE_VARIABLE: str(job.number)},
                 capture_output=True,
                 text=True,
                 timeout=JOB_SECONDS,
@@ -133,11 +133,11 @@
         results = _results(report)
     text = done.stdout + done.stderr
     # A scenario that never ran has not passed.
-    whole = {name: results.get(name, False) for name in job.names}
-    if done.returncode != 0 and all(whole.values()):
-        whole = dict.fromkeys(job.names, False)
+    complete = {name: results.get(name, False) for name in job.names}
+    if done.returncode != 0 and all(complete.values()):
+        complete = dict.fromkeys(job.names, False)
         text += f"\nbehave ended with {done.returncode}\n"
-    return Outcome(job, whole, text, time.monotonic() - began)
+    return Outcome(job, complete, text, time.monotonic() - began)
 
 
 def _results(report: Path) -> dict[str, bool]:
--- a/features/soak/client.py
+++ b/features/soak/client.py
@@ -5,13 +5,13 @@
 import time
 from typing import Self
 
-from features.soak.promises import DEADLINE_S, Ended, Record, Sent
+from features.soak.promises import DEADLINE_S, AttemptEnd, Record, SentRequest
 from features.soak.world import SoakWorld
 from features.support.platform_world import HOST
 
 _TIMEOUT_S = 5.0
 #: Pause behind a connection that ended without an answer.
-_PAUSE_S = 0.05
+_RECONNECT_PAUSE_S = 0.05
 
 
 class Client:
@@ -23,18 +23,18 @@
     def __init__(self, world: SoakWorld, record: Record) -> None:
         self._world = world
         self._record = record
-        self._kept: dict[str, http.client.HTTPConnection] = {}
+        self._connections: dict[str, http.client.HTTPConnection] = {}
 
     def __enter__(self) -> Self:
         return self
 
     def __exit__(self, *error: object) -> None:
-        for conn in self._kept.values():
+        for conn in self._connections.values():
             conn.close()
 
     def send(
         self, gateway: str, route: str, attempt: str, body: bytes, headers: dict[str, str]
-    ) -> Ended:
+    ) -> AttemptEnd:
         """Send an attempt and return how it ended."""
         conn = self._connection(gateway)
         sent = {
@@ -45,27 +45,29 @@
         }
         try:
             conn.request("POST", f"/{route}/x", body, sent)
-            self._record.sent(attempt, Sent(gateway, time.monotonic()))
+            self._record.note_sent(attempt, SentRequest(gateway, time.monotonic()))
             end = self._read(gateway, conn, attempt)
         except (OSError, http.client.HTTPException):
-            end = Ended(0, False, b"", time.monotonic())
+            end = AttemptEnd(0, False, b"", time.monotonic())
         if not end.is_whole:
             conn.close()
-        self._record.ended(attempt, end)
+        self._record.note_ended(attempt, end)
         if end.status == 0:
-            time.sleep(_PAUSE_S)
+            time.sleep(_RECONNECT_PAUSE_S)
         return end
 
     def _connection(self, gateway: str) -> http.client.HTTPConnection:
-        if gateway not in self._kept:
+        if gateway not in self._connections:
             host, _, port = self._world.addresses[gateway]["http"].partition(":")
-            self._kept[gateway] = http.client.HTTPConnection(host, int(port), timeout=_TIMEOUT_S)
-        conn = self._kept[gateway]
+            self._connections[gateway] = http.client.HTTPConnection(
+                host, int(port), timeout=_TIMEOUT_S
+            )
+        conn = self._connections[gateway]
         if conn.sock is not None:
-            self._look_at_idle(gateway, conn)
+            self._check_idle(gateway, conn)
         return conn
 
-    def _look_at_idle(self, gateway: str, conn: http.client.HTTPConnection) -> None:
+    def _check_idle(self, gateway: str, conn: http.client.HTTPConnection) -> None:
         """Close a connection that its gateway has ended; nothing else may have come on it."""
         arrivals = select.poll()
         arrivals.register(conn.sock, select.POLLIN)
@@ -76,30 +78,30 @@
         except OSError:
             data = b""
         if data:
-            self._note_surplus(gateway, data)
+            self._note_unexpected(gateway, data)
         conn.close()
 
-    def _note_surplus(self, gateway: str, data: bytes) -> None:
-        self._record.violated(f"MIXED: {gateway} sent {data!r} while no request was waiting")
+    def _note_unexpected(self, gateway: str, data: bytes) -> None:
+        self._record.note_violation(f"MIXED: {gateway} sent {data!r} while no request was waiting")
 
-    def _read(self, gateway: str, conn: http.client.HTTPConnection, attempt: str) -> Ended:
+    def _read(self, gateway: str, conn: http.client.HTTPConnection, attempt: str) -> AttemptEnd:
         response = conn.getresponse()
         if response.headers.get("X-Attempt-Id", attempt) != attempt:
             named = response.headers["X-Attempt-Id"]
-            self._record.violated(f"MIXED: {attempt} got the answer of {named}")
+            self._record.note_violation(f"MIXED: {attempt} got the answer of {named}")
         body = bytearray()
         try:
             while data := response.read1(65536):
                 body += data
         except (OSError, http.client.HTTPException, ValueError):
-            return Ended(response.status, False, bytes(body), time.monotonic())
+            return AttemptEnd(response.status, False, bytes(body), time.monotonic())
         is_whole = response.length in (None, 0)
         if is_whole and conn.sock is not None and not response.isclosed():
             # What came in one piece with the answer is in the response's buffer, not at the socket.
             conn.sock.setblocking(False)
-            surplus = response.fp.peek()
+            unexpected = response.fp.peek()
             conn.sock.settimeout(_TIMEOUT_S)
-            if surplus:
-                self._note_surplus(gateway, surplus)
+            if unexpected:
+                self._note_unexpected(gateway, unexpected)
         response.close()
-        return Ended(response.status, is_whole, bytes(body), time.monotonic())
+        return AttemptEnd(response.status, is_whole, bytes(body), time.monotonic())
--- a/features/soak/returns.py
+++ b/features/soak/continuations.py
@@ -15,14 +15,14 @@
 #: Seconds behind a final fault within which every gateway serves again.
 RECOVER_S = 12.0
 #: Seconds that a turn must be kept yet when the machines are back, to outlast the last try.
-_KEPT_S = RECOVER_S + 5.0
-_PER_GATEWAY = 4
+_MIN_RETENTION_LEFT_S = RECOVER_S + 5.0
+_PROGRAMS_PER_GATEWAY = 4
 _BUDGET = 1000
 #: Tokens of a prompt with its history, many times those of a program without one.
 _OWN_TOKENS = 20_000
 
 
-class Returned(NamedTuple):
+class ContinuationResult(NamedTuple):
     """How programs fared that went on.
 
     :param longest_s: until a server got the last of them, from when the machines were back.
@@ -34,7 +34,7 @@
     most_tries: int
 
 
-class Returns:
+class Continuations:
     """Programs at every gateway, each going on from an answered turn of another program.
 
     :param back_at: when the machines were back, on the monotonic clock.
@@ -45,7 +45,7 @@
         self._record = record
         self._back_at = back_at
 
-    def play(self, name: str, turns: list[Turn], rng: random.Random) -> Returned:
+    def play(self, name: str, turns: list[Turn], rng: random.Random) -> ContinuationResult:
         """Let programs go on until servers got all of them or the recovery is over.
 
         :param turns: answered ones, the latest last.
@@ -56,37 +56,37 @@
             for number, turn in enumerate(_choose(turns, rng))
         ]
         with ThreadPoolExecutor(max(len(chosen), 1)) as pool:
-            found = list(pool.map(lambda one: self._go_on(*one), chosen))
-        return Returned(
+            found = list(pool.map(lambda one: self._continue_turn(*one), chosen))
+        return ContinuationResult(
             len(found),
             round(max((lasted_s for lasted_s, _ in found), default=0.0), 2),
             max((tries for _, tries in found), default=0),
         )
 
-    def _go_on(self, gateway: str, name: str, turn: Turn) -> tuple[float, int]:
+    def _continue_turn(self, gateway: str, name: str, turn: Turn) -> tuple[float, int]:
         """Ask with a program's first turn until a server gets it; return seconds and tries."""
         rng = random.Random(name)
         program = Program(name, _BUDGET, time.monotonic() + FINISH_S, _OWN_TOKENS)
-        self._record.begin_program(name, _BUDGET)
+        self._record.note_program(name, _BUDGET)
         attempts: list[str] = []
         with Client(self._world, self._record) as client:
             while time.monotonic() < self._back_at + RECOVER_S:
                 attempts.append(f"{name}-{len(attempts)}")
                 send_turn(client, self._record, gateway, program, attempts[-1], turn)
-                if self._record.has_reached(attempts):
+                if self._record.any_reached(attempts):
                     break
                 threading.Event().wait(rng.uniform(0.1, 0.4))
-        self._record.went_on(turn.attempt, gateway, attempts)
+        self._record.note_continued(turn.attempt, gateway, attempts)
         return time.monotonic() - self._back_at, len(attempts)
 
 
-def kept_turns_from(now: float) -> float:
+def continuable_since(now: float) -> float:
     """Return from when on turns are kept for as long as programs may go on from them."""
-    return now - RETAIN_S + _KEPT_S
+    return now - RETAIN_S + _MIN_RETENTION_LEFT_S
 
 
 def _choose(turns: list[Turn], rng: random.Random) -> list[Turn]:
     """Return the latest turns, which were the last to be stored, and as many of the others."""
-    latest = turns[-_PER_GATEWAY // 2 :]
-    others = turns[: -_PER_GATEWAY // 2]
-    return latest + rng.sample(others, min(len(others), _PER_GATEWAY - len(latest)))
+    latest = turns[-_PROGRAMS_PER_GATEWAY // 2 :]
+    others = turns[: -_PROGRAMS_PER_GATEWAY // 2]
+    return latest + rng.sample(others, min(len(others), _PROGRAMS_PER_GATEWAY - len(latest)))
--- a/features/soak/disks.py
+++ b/features/soak/disks.py
@@ -15,13 +15,13 @@
 
 #: Seconds that a wiped replica has to be in its group again.
 REJOIN_S = 25.0
-_LOOK_S = 0.1
+_POLL_S = 0.1
 _ANSWER_S = 1.0
 #: Length and number of a message between machines, before it.
 _HEADER = struct.Struct(">II")
 
 
-class Loss(NamedTuple):
+class DiskLoss(NamedTuple):
     """A disk that was lost.
 
     :param disks: by which the replica's groups knew it; none if it was of no group.
@@ -48,29 +48,29 @@
         self._disruptions = disruptions
         self.lock = threading.Lock()
 
-    def lose(self, name: str) -> Loss:
+    def lose(self, name: str) -> DiskLoss:
         """Lose the disk of a replica that is down."""
         views = self._views()
         known = [member for view in views for member in [*view["members"], *view["joining"]]]
         disks = {member["disk_id"] for member in known if member["node_id"] == name}
         members = sum(len(view["members"]) for view in views)
         shutil.rmtree(self._world.disk(name), ignore_errors=True)
-        return Loss(name, disks, members)
+        return DiskLoss(name, disks, members)
 
-    def wait_copied(self, loss: Loss, fault: int) -> None:
+    def wait_copied(self, loss: DiskLoss, fault: int) -> None:
         """Wait until other disks are in the place of a lost one; raise AssertionError if not.
 
         :param fault: number of the loss; the time counts while no other fault goes on.
         """
         end = time.monotonic() + self._rejoin_s
         while loss.disks and not self._is_copied(loss):
-            if self._disruptions.is_disrupted_besides(fault):
+            if self._disruptions.has_other_fault(fault):
                 end = time.monotonic() + self._rejoin_s
             if time.monotonic() > end:
                 raise AssertionError(f"{loss.name} was wiped and its group is not whole again")
-            time.sleep(_LOOK_S)
+            time.sleep(_POLL_S)
 
-    def _is_copied(self, loss: Loss) -> bool:
+    def _is_copied(self, loss: DiskLoss) -> bool:
         """Return whether every group is whole without the disk, and all members have copied."""
         views = self._views()
         members = [(view["group"], member) for view in views for member in view["members"]]
--- /dev/null
+++ b/features/soak/fault_workers.py
@@ -0,0 +1,61 @@
+"""Several strands of faults at once, each one fault at a time."""
+
+import random
+import time
+from collections import Counter
+from concurrent.futures import ThreadPoolExecutor
+
+from features.soak.disks import Disks
+from features.soak.faults import FaultInjector
+from features.soak.promises import Record
+from features.soak.resource_locks import ResourceLocks
+from features.soak.world import SoakWorld
+
+
+class FaultWorkers:
+    """Strike again and again, and heal what they did.
+
+    :param seed: fixes the kinds and their order in each strand.
+    :param count: how many faults there are at most at once.
+    :ivar struck: how often each kind struck.
+    """
+
+    def __init__(
+        self, world: SoakWorld, record: Record, disks: Disks, seed: int, count: int
+    ) -> None:
+        self._record = record
+        resource_locks = ResourceLocks()
+        self._rngs = [random.Random(f"{seed}/faults/{number}") for number in range(count)]
+        self._injectors = [
+            FaultInjector(world, record, resource_locks, disks, rng) for rng in self._rngs
+        ]
+        self.injected: Counter[str] = Counter()
+
+    def do_planned_work_until(self, end: float) -> None:
+        """Do planned work alone until a moment of the monotonic clock."""
+        self._run(sorted(self._injectors[0].planned), end)
+
+    def inject_until(self, end: float) -> None:
+        """Strike with all kinds until a moment of the monotonic clock; all is healed then."""
+        self._run(sorted({**self._injectors[0].planned, **self._injectors[0].unplanned}), end)
+
+    def _run(self, names: list[str], end: float) -> None:
+        numbers = range(len(self._injectors))
+        with ThreadPoolExecutor(len(self._injectors)) as pool:
+            running = [
+                pool.submit(self._inject_repeatedly, number, names, end) for number in numbers
+            ]
+        for future in running:
+            self.injected += future.result()
+
+    def _inject_repeatedly(self, number: int, names: list[str], end: float) -> Counter[str]:
+        rng, injected = self._rngs[number], Counter[str]()
+        while time.monotonic() < end:
+            name = rng.choice(names)
+            injected[name] += 1
+            try:
+                self._injectors[number].inject(name)
+            except AssertionError as error:
+                self._record.note_violation(f"RECOVER: {error}")
+            time.sleep(rng.uniform(0.05, 0.8))
+        return injected
--- a/features/soak/faults.py
+++ b/features/soak/faults.py
@@ -8,29 +8,29 @@
 from collections.abc import Callable
 from typing import Any
 
-from features.soak.claims import Claims
 from features.soak.disks import Disks
 from features.soak.promises import Record
 from features.soak.proxy import Mode
+from features.soak.resource_locks import ResourceLocks
 from features.soak.world import SoakWorld
 from features.support.platform_world import Server
 
 #: Seconds that a gateway has to end behind SIGTERM.
 _STOP_S = 10.0
 #: Seconds behind SIGHUP for which requests may still suffer from it, the configuration's bound.
-_SIGNALLED_S = 3.0
+_RELOAD_S = 3.0
 #: The most signals or configurations in a row.
-_ROW = 6
+_MAX_REPEATS = 6
 #: The most gateways that are stopped in turn.
-_IN_TURN = 4
-_WIPED = "replica wiped"
+_MAX_GATEWAYS_IN_TURN = 4
+_REPLICA_WIPED = "replica wiped"
 _SLOW_CALLERS = 20
 _SLOW_HEAD = (
     b"POST /records/x HTTP/1.1\r\nHost: desk.example\r\nX-Attempt-Id: slow-%d\r\n"
     b"X-Deadline-Ms: 3000\r\nContent-Length: 60000\r\n\r\n"
 )
 #: What another writer puts in place of an entry.
-_SPOILED: tuple[Any, ...] = (
+_INVALID_ENTRIES: tuple[Any, ...] = (
     None,
     "no entry",
     [1, 2],
@@ -40,7 +40,7 @@
 )
 
 
-class Faults:
+class FaultInjector:
     """The kinds of faults; each heals what it did. Several strands may have one each.
 
     :param rng: fixes their length and, by what is free, what they strike.
@@ -49,71 +49,76 @@
     """
 
     def __init__(
-        self, world: SoakWorld, record: Record, claims: Claims, disks: Disks, rng: random.Random
+        self,
+        world: SoakWorld,
+        record: Record,
+        resource_locks: ResourceLocks,
+        disks: Disks,
+        rng: random.Random,
     ) -> None:
         self._world = world
         self._record = record
         self._disruptions = record.disruptions
-        self._claims = claims
+        self._resource_locks = resource_locks
         self._disks = disks
         self._rng = rng
         self.planned: dict[str, Callable[[], None]] = {
-            "gateway stopped": self._stopped,
-            "gateways stopped in turn": self._stopped_in_turn,
-            "settings signalled": self._signalled,
-            "settings signalled in a row": self._signalled_in_a_row,
+            "gateway stopped": self._stop_gateway,
+            "gateways stopped in turn": self._stop_gateways_in_turn,
+            "settings signalled": self._signal_gateway,
+            "settings signalled in a row": self._signal_gateway_repeatedly,
             "configuration": lambda: world.publish() and None,
-            "configurations in a row": self._configured_in_a_row,
+            "configurations in a row": self._publish_repeatedly,
         }
         self.unplanned: dict[str, Callable[[], None]] = {
-            "gateway killed": lambda: self._killed(world.gateways),
-            "replica killed": lambda: self._killed(world.replicas),
-            "replica killed, log torn": self._torn,
-            _WIPED: self._wiped,
-            "all replicas killed": lambda: self._all_killed(world.replicas),
-            "all machines killed": lambda: self._all_killed(world.machines),
-            "gateway frozen": lambda: self._frozen(world.gateways),
-            "replica frozen": lambda: self._frozen(world.replicas),
-            "store down": self._store_down,
+            "gateway killed": lambda: self._kill_one(world.gateways),
+            "replica killed": lambda: self._kill_one(world.replicas),
+            "replica killed, log torn": self._tear_log,
+            _REPLICA_WIPED: self._wipe_disk,
+            "all replicas killed": lambda: self._kill_all(world.replicas),
+            "all machines killed": lambda: self._kill_all(world.machines),
+            "gateway frozen": lambda: self._freeze_one(world.gateways),
+            "replica frozen": lambda: self._freeze_one(world.replicas),
+            "store down": self._stop_store,
             "store forgets": world.store.forget_history,
             "store drops one machine": lambda: self._cut_from_store(Mode.SILENT),
             "store refuses one machine": lambda: self._cut_from_store(Mode.REFUSE),
             "store slow for one machine": lambda: self._cut_from_store(Mode.SLOW),
-            "server cut": lambda: self._server(Mode.SILENT),
-            "server resets": lambda: self._server(Mode.REFUSE),
-            "server slow": lambda: self._server(Mode.SLOW),
-            "server starts again": self._reborn,
-            "an earlier life told late": self._told_late,
-            "entries of another writer": self._spoiled,
-            "callers that send slowly": self._slow_callers,
+            "server cut": lambda: self._disturb_server(Mode.SILENT),
+            "server resets": lambda: self._disturb_server(Mode.REFUSE),
+            "server slow": lambda: self._disturb_server(Mode.SLOW),
+            "server starts again": self._restart_server,
+            "an earlier life told late": self._list_old_incarnation,
+            "entries of another writer": self._write_invalid_entries,
+            "callers that send slowly": self._send_slow_bodies,
         }
 
-    def strike(self, name: str) -> None:
+    def inject(self, name: str) -> None:
         """Strike with one kind."""
         if name in self.planned:
             self.planned[name]()
-        elif name == _WIPED:
+        elif name == _REPLICA_WIPED:
             # It waits for the disk lost before, and is a fault only from then on.
-            self._wiped()
+            self._wipe_disk()
         else:
             with self._disruptions.unplanned(name):
                 self.unplanned[name]()
 
-    def _pause(self, most_s: float = 1.5) -> None:
-        time.sleep(self._rng.uniform(0.1, most_s))
+    def _pause(self, max_s: float = 1.5) -> None:
+        time.sleep(self._rng.uniform(0.1, max_s))
 
     # Planned work
 
-    def _stopped(self) -> None:
-        with self._claims.one_of(self._world.gateways, self._rng) as name:
+    def _stop_gateway(self) -> None:
+        with self._resource_locks.lock_any(self._world.gateways, self._rng) as name:
             if name is not None:
                 self._stop(name)
 
-    def _stopped_in_turn(self) -> None:
+    def _stop_gateways_in_turn(self) -> None:
         """Stop one gateway behind the other; signals and changes may come meanwhile."""
-        count = min(_IN_TURN, len(self._world.gateways))
+        count = min(_MAX_GATEWAYS_IN_TURN, len(self._world.gateways))
         for gateway in self._rng.sample(self._world.gateways, count):
-            with self._claims.one_of([gateway], self._rng) as name:
+            with self._resource_locks.lock_any([gateway], self._rng) as name:
                 if name is not None:
                     self._stop(name)
 
@@ -123,43 +128,43 @@
             try:
                 process.wait(timeout=_STOP_S)
             except subprocess.TimeoutExpired:
-                self._record.violated(f"DRAIN: {name} runs on {_STOP_S} s after SIGTERM")
+                self._record.note_violation(f"DRAIN: {name} runs on {_STOP_S} s after SIGTERM")
                 self._world.kill(name)
             self._world.restart(name)
 
-    def _signalled(self) -> None:
+    def _signal_gateway(self) -> None:
         self._signal(self._rng.choice(self._world.gateways), 1)
 
-    def _signalled_in_a_row(self) -> None:
-        self._signal(self._rng.choice(self._world.gateways), self._rng.randrange(2, _ROW))
+    def _signal_gateway_repeatedly(self) -> None:
+        self._signal(self._rng.choice(self._world.gateways), self._rng.randrange(2, _MAX_REPEATS))
 
     def _signal(self, name: str, count: int) -> None:
         """Signal a gateway that has started, whatever else is done to it meanwhile."""
-        with self._disruptions.planned(name, _SIGNALLED_S):
+        with self._disruptions.planned(name, _RELOAD_S):
             for _ in range(count):
                 process = self._world.processes[name]
                 if self._world.has_started(name):
                     process.send_signal(signal.SIGHUP)
                 time.sleep(self._rng.uniform(0.0, 0.2))
 
-    def _configured_in_a_row(self) -> None:
-        for _ in range(self._rng.randrange(2, _ROW)):
+    def _publish_repeatedly(self) -> None:
+        for _ in range(self._rng.randrange(2, _MAX_REPEATS)):
             self._world.publish()
             time.sleep(self._rng.uniform(0.0, 0.2))
 
     # Machines
 
-    def _killed(self, names: list[str]) -> None:
-        with self._claims.one_of(names, self._rng) as name:
+    def _kill_one(self, names: list[str]) -> None:
+        with self._resource_locks.lock_any(names, self._rng) as name:
             if name is None:
                 return
             self._world.kill(name)
             self._pause(1.0)
             self._world.restart(name)
 
-    def _torn(self) -> None:
+    def _tear_log(self) -> None:
         """Leave half a frame behind the log, as a loss of power does."""
-        with self._claims.one_of(self._world.replicas, self._rng) as name:
+        with self._resource_locks.lock_any(self._world.replicas, self._rng) as name:
             if name is None:
                 return
             self._world.kill(name)
@@ -169,9 +174,9 @@
                     file.write(self._rng.randbytes(self._rng.randrange(1, 40)))
             self._world.restart(name)
 
-    def _wiped(self) -> None:
-        with self._disks.lock, self._disruptions.unplanned(_WIPED) as fault:
-            with self._claims.one_of(self._world.replicas, self._rng) as name:
+    def _wipe_disk(self) -> None:
+        with self._disks.lock, self._disruptions.unplanned(_REPLICA_WIPED) as fault:
+            with self._resource_locks.lock_any(self._world.replicas, self._rng) as name:
                 if name is None:
                     return
                 self._world.kill(name)
@@ -179,8 +184,8 @@
                 self._world.restart(name)
             self._disks.wait_copied(loss, fault)
 
-    def _all_killed(self, names: list[str]) -> None:
-        with self._claims.all_of(names) as is_held:
+    def _kill_all(self, names: list[str]) -> None:
+        with self._resource_locks.lock_all(names) as is_held:
             if not is_held:
                 return
             self._world.kill_all(names)
@@ -188,8 +193,8 @@
             for name in names:
                 self._world.restart(name)
 
-    def _frozen(self, names: list[str]) -> None:
-        with self._claims.one_of(names, self._rng) as name:
+    def _freeze_one(self, names: list[str]) -> None:
+        with self._resource_locks.lock_any(names, self._rng) as name:
             if name is None:
                 return
             self._world.kill(name, signal.SIGSTOP)
@@ -198,19 +203,21 @@
 
     # What stands between
 
-    def _store_down(self) -> None:
+    def _stop_store(self) -> None:
         self._world.store.is_down = True
         self._pause(3.0)
         self._world.store.is_down = False
 
     def _cut_from_store(self, mode: Mode) -> None:
         name = self._rng.choice([*self._world.gateways, *self._world.replicas])
-        self._through(self._world.store_proxies[name], mode)
+        self._disturb(self._world.store_proxies[name], mode)
 
-    def _server(self, mode: Mode) -> None:
-        with self._claims.one_of(sorted(self._world.server_proxies), self._rng) as server_id:
+    def _disturb_server(self, mode: Mode) -> None:
+        with self._resource_locks.lock_any(
+            sorted(self._world.server_proxies), self._rng
+        ) as server_id:
             if server_id is not None:
-                self._through(self._world.server_proxies[server_id], mode)
+                self._disturb(self._world.server_proxies[server_id], mode)
 
     # Servers and callers
 
@@ -218,9 +225,9 @@
         """Return a server and its service."""
         return self._world.servers[server_id], self._world.service_of[server_id]
 
-    def _reborn(self) -> None:
+    def _restart_server(self) -> None:
         """Let a server start again at once under its id; connections to it end."""
-        with self._claims.one_of(sorted(self._world.servers), self._rng) as server_id:
+        with self._resource_locks.lock_any(sorted(self._world.servers), self._rng) as server_id:
             if server_id is None:
                 return
             proxy = self._world.server_proxies[server_id]
@@ -229,9 +236,9 @@
             proxy.mode = Mode.PASS
             self._world.list_restarted(*self._service_of(server_id), int(time.time() * 1000))
 
-    def _told_late(self) -> None:
+    def _list_old_incarnation(self) -> None:
         """Tell of an earlier incarnation of a server, as a list that is old does."""
-        with self._claims.one_of(sorted(self._world.servers), self._rng) as server_id:
+        with self._resource_locks.lock_any(sorted(self._world.servers), self._rng) as server_id:
             if server_id is None:
                 return
             server, service = self._service_of(server_id)
@@ -241,21 +248,21 @@
             self._pause()
             self._world.list_restarted(server, service, newest)
 
-    def _spoiled(self) -> None:
+    def _write_invalid_entries(self) -> None:
         """Let another writer spoil entries, one of them a server's own for a while."""
         store = self._world.store
-        with self._claims.one_of(sorted(self._world.servers), self._rng) as server_id:
+        with self._resource_locks.lock_any(sorted(self._world.servers), self._rng) as server_id:
             if server_id is None:
                 return
-            for number, spec in enumerate(_SPOILED):
+            for number, spec in enumerate(_INVALID_ENTRIES):
                 store.put("servers", f"x-{number}", spec)
-            store.put("servers", server_id, self._rng.choice(_SPOILED))
+            store.put("servers", server_id, self._rng.choice(_INVALID_ENTRIES))
             self._pause()
             self._world.list_again(*self._service_of(server_id))
-            for number in range(len(_SPOILED)):
+            for number in range(len(_INVALID_ENTRIES)):
                 store.remove("servers", f"x-{number}")
 
-    def _slow_callers(self) -> None:
+    def _send_slow_bodies(self) -> None:
         """Let callers begin bodies that they do not end."""
         host, _, port = self._world.addresses[self._rng.choice(self._world.gateways)][
             "http"
@@ -273,7 +280,7 @@
         for caller in callers:
             caller.close()
 
-    def _through(self, proxy, mode: Mode) -> None:
+    def _disturb(self, proxy, mode: Mode) -> None:
         proxy.mode = mode
         self._pause(2.5)
         proxy.mode = Mode.PASS
--- a/features/soak/planned/clients.py
+++ b/features/soak/planned/clients.py
@@ -7,9 +7,9 @@
 
 from features.soak.client import Client
 from features.soak.planned.content import CHAT, CLIENT_KEYS, FLOW, LOOKUP, TALK
-from features.soak.planned.cuts import DEADLINE_S, Asked
+from features.soak.planned.cuts import DEADLINE_S, AttemptStart
 from features.soak.planned.world import PlannedWorld
-from features.soak.promises import Ended, Record, events_of
+from features.soak.promises import AttemptEnd, Record, events_of
 from features.soak.threads import ThreadGroup
 from features.soak.turns import NO_TURN, Program, send_turn
 from features.support.platform_world import event
@@ -17,8 +17,8 @@
 #: Seconds in which a program should be over.
 FINISH_S = 12.0
 #: Gateways that one client uses.
-_GATEWAYS_OF_EACH = 4
-_PARTS = {"program": 0.6, "stream": 0.2, "lookup": 0.15, "spare lookup": 0.05}
+_GATEWAYS_PER_CLIENT = 4
+_SHARES = {"program": 0.6, "stream": 0.2, "lookup": 0.15, "spare lookup": 0.05}
 
 
 class KeyedClient(Client):
@@ -34,19 +34,19 @@
         record: Record,
         key: str,
         turns_route: str,
-        asked: dict[str, Asked],
+        starts: dict[str, AttemptStart],
     ) -> None:
         super().__init__(world, record)
         self._key = key
         self._turns_route = turns_route
-        self._asked = asked
+        self._starts = starts
 
     def send(
         self, gateway: str, route: str, attempt: str, body: bytes, headers: dict[str, str]
-    ) -> Ended:
+    ) -> AttemptEnd:
         """Send an attempt and return how it ended."""
         used = self._turns_route if route == CHAT else route
-        self._asked[attempt] = Asked(used, time.monotonic())
+        self._starts[attempt] = AttemptStart(used, time.monotonic())
         own = {"X-Key": self._key, "X-Deadline-Ms": str(round(DEADLINE_S * 1000.0))}
         return super().send(gateway, used, attempt, body, {**headers, **own})
 
@@ -62,7 +62,7 @@
         super().__init__()
         self._world = world
         self._record = record
-        self.asked: dict[str, Asked] = {}
+        self.starts: dict[str, AttemptStart] = {}
         self._threads = [
             threading.Thread(target=self._run, args=(random.Random(f"{seed}/{number}"), number))
             for number in range(clients)
@@ -73,18 +73,18 @@
             self._ask(rng, number)
         except Exception as error:
             # Without its requests the run would show less than it claims.
-            self._record.violated(f"HARNESS: client {number} ended: {error!r}")
+            self._record.note_violation(f"HARNESS: client {number} ended: {error!r}")
 
     def _ask(self, rng: random.Random, number: int) -> None:
         world = self._world
-        gateways = rng.sample(world.gateways, min(_GATEWAYS_OF_EACH, len(world.gateways)))
+        gateways = rng.sample(world.gateways, min(_GATEWAYS_PER_CLIENT, len(world.gateways)))
         key, route = rng.choice(CLIENT_KEYS), rng.choice((CHAT, TALK))
         done = 0
-        with KeyedClient(world, self._record, key, route, self.asked) as client:
+        with KeyedClient(world, self._record, key, route, self.starts) as client:
             while not self._is_over.is_set():
                 done += 1
                 name = f"c{number}-{done}"
-                kind = rng.choices(list(_PARTS), list(_PARTS.values()))[0]
+                kind = rng.choices(list(_SHARES), list(_SHARES.values()))[0]
                 if kind == "program":
                     self._program(rng, client, gateways, name)
                 elif kind == "stream":
@@ -96,23 +96,23 @@
 
     def _look_up(self, client: Client, gateway: str, route: str, name: str) -> None:
         body = f"lookup {name}".encode()
-        self._record.begin(name, body)
+        self._record.note_attempt(name, body)
         end = client.send(gateway, route, name, body, {})
         if end.status == http.client.OK and end.is_whole and end.body != name.encode():
-            self._record.violated(f"MIXED: {name} got {end.body!r}")
+            self._record.note_violation(f"MIXED: {name} got {end.body!r}")
 
     def _stream(self, rng: random.Random, client: Client, gateways: list[str], name: str) -> None:
         body = f"stream {name}".encode()
-        self._record.begin(name, body)
+        self._record.note_attempt(name, body)
         end = client.send(rng.choice(gateways), FLOW, name, body, {"X-Token-Count": "100,50"})
         events = b"".join(event(number) for number in range(1, events_of(name) + 1))
         if end.status == http.client.OK and end.is_whole and end.body != events:
-            self._record.violated(f"ORDER: {name} got {end.body!r}")
+            self._record.note_violation(f"ORDER: {name} got {end.body!r}")
 
     def _program(self, rng: random.Random, client: Client, gateways: list[str], name: str) -> None:
         budget = rng.choice((60, 150, 400))
         program = Program(name, budget, time.monotonic() + FINISH_S)
-        self._record.begin_program(name, budget)
+        self._record.note_program(name, budget)
         turn, failures = NO_TURN, 0
         for step in range(rng.randrange(2, 8)):
             while not self._is_over.is_set() and failures < 4:
--- a/features/soak/planned/content.py
+++ b/features/soak/planned/content.py
@@ -14,11 +14,11 @@
 #: Keys that clients hold in every version.
 CLIENT_KEYS = ("key-of-one", "key-of-two", "key-of-three")
 #: Routes that come and go at once.
-BIG_ROUTES = 1_400
-USUAL_TIMEOUT_MS = 4_000
+MANY_ROUTES = 1_400
+DEFAULT_TIMEOUT_MS = 4_000
 TIMEOUTS_MS = (2_000, 3_000, 3_800, 4_000, 4_200, 5_000, 8_000)
 #: The most of the services and of the tenants that come and go one by one.
-_MOST_SPARE = 6
+_MAX_SPARE = 6
 _ENGINE = {"slots": 16, "kv_capacity": 500_000, "chunk_tokens": 10}
 
 
@@ -30,7 +30,7 @@
         "path_prefix": f"/{name}/",
         "type": kind,
         "service": service,
-        "timeout_ms": USUAL_TIMEOUT_MS,
+        "timeout_ms": DEFAULT_TIMEOUT_MS,
         "slo_ms": 200,
         "attempts": 2,
         "priority": 1,
@@ -58,7 +58,7 @@
         ]
         self._lookups = route(LOOKUP, "mutating", LOOKUP)
         self._spare_routes: list[dict[str, Any]] = []
-        self._big_routes: list[dict[str, Any]] = []
+        self._many_routes: list[dict[str, Any]] = []
         self._limits = {
             "idle_timeout_ms": 15_000,
             "max_body_bytes": 65_536,
@@ -73,7 +73,7 @@
             "route added": self._add_route,
             "route removed": lambda: self._drop(self._spare_routes),
             "many routes added": self._add_many_routes,
-            "many routes removed": self._big_routes.clear,
+            "many routes removed": self._many_routes.clear,
             "weights": self._split,
             "route moved": self._move,
             "timeout": self._change_timeout,
@@ -121,7 +121,7 @@
 
     @property
     def _routes(self) -> list[dict[str, Any]]:
-        return [*self._stream_routes, self._lookups, *self._spare_routes, *self._big_routes]
+        return [*self._stream_routes, self._lookups, *self._spare_routes, *self._many_routes]
 
     def _number(self) -> int:
         self._added += 1
@@ -142,13 +142,13 @@
         self._limit("header_timeout_ms", (1_000, 3_000))
 
     def _add_route(self) -> None:
-        if len(self._spare_routes) < _MOST_SPARE:
+        if len(self._spare_routes) < _MAX_SPARE:
             self._spare_routes.append(route(f"spare-{self._number()}", "mutating", LOOKUP))
 
     def _add_many_routes(self) -> None:
         first = self._number()
-        self._big_routes[:] = [
-            route(f"many-{first}-{number}", "idempotent", LOOKUP) for number in range(BIG_ROUTES)
+        self._many_routes[:] = [
+            route(f"many-{first}-{number}", "idempotent", LOOKUP) for number in range(MANY_ROUTES)
         ]
 
     def _split(self) -> None:
@@ -164,14 +164,14 @@
         moved["service"] = ENGINES[moved["service"] == ENGINES[0]]
 
     def _change_timeout(self) -> None:
-        changed = self._rng.choice(self._stream_routes)
-        changed["timeout_ms"] = self._rng.choice(TIMEOUTS_MS)
+        edited_content = self._rng.choice(self._stream_routes)
+        edited_content["timeout_ms"] = self._rng.choice(TIMEOUTS_MS)
 
     def _change_connections(self) -> None:
         self._max_conns = self._rng.choice((10, 30, 100))
 
     def _add_tenant(self) -> None:
-        if len(self._spare_tenants) < _MOST_SPARE:
+        if len(self._spare_tenants) < _MAX_SPARE:
             name = f"spare-{self._number()}"
             self._spare_tenants.append(_tenant(name, [f"key-of-{name}"]))
 
@@ -181,7 +181,7 @@
         limited["api_keys"] = [limited["name"], *self._rng.choice(([], [f"more-{self._number()}"]))]
 
     def _add_service(self) -> None:
-        if len(self._spare_services) < _MOST_SPARE:
+        if len(self._spare_services) < _MAX_SPARE:
             self._spare_services.append(f"spare-{self._number()}")
 
 
--- a/features/soak/planned/cuts.py
+++ b/features/soak/planned/cuts.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable, Iterable, Mapping, Sequence
 from typing import NamedTuple
 
-from features.soak.promises import Attempted
+from features.soak.promises import FinishedAttempt
 
 #: Seconds that each attempt has.
 DEADLINE_S = 4.0
@@ -13,7 +13,7 @@
 Timeouts = list[tuple[float, dict[str, float]]]
 
 
-class Written(NamedTuple):
+class WrittenTimeouts(NamedTuple):
     """The routes' times as they were written.
 
     :param at: when, on the monotonic clock.
@@ -24,7 +24,7 @@
     times_s: dict[str, float]
 
 
-class Asked(NamedTuple):
+class AttemptStart(NamedTuple):
     """An attempt.
 
     :param at: moment of the monotonic clock before anything of it was sent.
@@ -59,31 +59,37 @@
 
 
 def find_cuts(
-    attempts: Iterable[Attempted],
+    attempts: Iterable[FinishedAttempt],
     timeouts_at: Callable[[str], Timeouts],
-    asked: dict[str, Asked],
+    starts: dict[str, AttemptStart],
 ) -> list[Cut]:
     """Return the requests that were cut before their time was over.
 
     :param timeouts_at: returns the routes' times as they count at a gateway.
     """
     found = []
-    for attempted in attempts:
-        if attempted.end.is_whole or attempted.was_broken_off or not attempted.was_taken:
+    for finished_attempt in attempts:
+        if (
+            finished_attempt.end.is_whole
+            or finished_attempt.was_broken_off
+            or not finished_attempt.was_taken
+        ):
             continue
-        route, begun_at = asked[attempted.attempt]
-        end = attempted.end
-        gateway = attempted.sent.gateway
-        time_s = min(DEADLINE_S, longest_s(timeouts_at(gateway), route, begun_at, end.at))
+        route, begun_at = starts[finished_attempt.attempt]
+        end = finished_attempt.end
+        gateway = finished_attempt.sent.gateway
+        time_s = min(DEADLINE_S, longest_timeout_s(timeouts_at(gateway), route, begun_at, end.at))
         lasted_s = end.at - begun_at
         if lasted_s < time_s:
             found.append(
-                Cut(attempted.attempt, gateway, route, end.status, lasted_s, time_s, end.at)
+                Cut(finished_attempt.attempt, gateway, route, end.status, lasted_s, time_s, end.at)
             )
     return found
 
 
-def timeouts_in_force(written: Sequence[Written], in_force: Mapping[int, float]) -> Timeouts:
+def timeouts_in_force(
+    written: Sequence[WrittenTimeouts], in_force: Mapping[int, float]
+) -> Timeouts:
     """Return the routes' times by when they count at a gateway.
 
     They do once it has put them in force, and ``CONFIGURATION_S`` after they were written at the
@@ -94,21 +100,21 @@
     found = []
     for version, at, times_s in written:
         latest = at + CONFIGURATION_S
-        is_passed_over = version not in in_force and any(
+        is_skipped = version not in in_force and any(
             later > version and since <= latest for later, since in in_force.items()
         )
-        if not is_passed_over:
+        if not is_skipped:
             found.append((min(in_force.get(version, latest), latest), times_s))
     return found
 
 
-def longest_s(timeouts: Timeouts, route: str, begin: float, end: float) -> float:
+def longest_timeout_s(timeouts: Timeouts, route: str, begin: float, end: float) -> float:
     """Return the longest time of a route that was in force in a span; endless for other routes."""
-    longest, before = 0.0, 0.0
+    longest, previous = 0.0, 0.0
     for at, times_s in timeouts:
         time_s = times_s.get(route, float("inf"))
         if at <= begin:
-            before = time_s
+            previous = time_s
         elif at <= end:
             longest = max(longest, time_s)
-    return max(longest, before)
+    return max(longest, previous)
--- a/features/soak/planned/run.py
+++ b/features/soak/planned/run.py
@@ -7,16 +7,16 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from features.soak.lateness import Lateness
 from features.soak.planned.clients import Clients
 from features.soak.planned.cuts import Cut, find_cuts
 from features.soak.planned.work import PlannedWork
 from features.soak.planned.world import PlannedWorld
 from features.soak.promises import Record
+from features.soak.thread_delay import ThreadDelay
 
 #: Seconds before the work begins and for what is under way when it ends.
 _CALM_S = 2.0
-_ENDS_S = 1.0
+_FINISH_S = 1.0
 #: Lines that tell what became of requests.
 _KINDS = (
     "AttemptAdmitted",
@@ -64,16 +64,16 @@
     :param keep: where logs go if a promise was broken.
     """
     record = Record()
-    with Lateness() as lateness, PlannedWorld(record, seed, gateways) as world:
+    with ThreadDelay() as thread_delay, PlannedWorld(record, seed, gateways) as world:
         with Clients(world, record, seed, clients) as load:
             time.sleep(_CALM_S)
             with PlannedWork(world, record, seed) as work:
                 time.sleep(seconds_s)
-            time.sleep(_ENDS_S)
-        world.look_at_ends()
+            time.sleep(_FINISH_S)
+        world.check_all_running()
         lines = world.gateway_lines(_KINDS)
-        record.read(line["attempt"] for line in lines if line["kind"] == "AttemptAdmitted")
-        cuts = find_cuts(record.attempted(), cache(world.timeouts_at), load.asked)
+        record.note_admitted(line["attempt"] for line in lines if line["kind"] == "AttemptAdmitted")
+        cuts = find_cuts(record.finished_attempts(), cache(world.timeouts_at), load.starts)
         violations = [*record.violations(), *(cut.text for cut in cuts)]
         if violations and keep is not None:
             world.keep_logs(keep / f"planned-{seed}")
@@ -83,14 +83,14 @@
         dict(record.outcomes()),
         _by_reason(lines, "AttemptRefused"),
         _by_reason(lines, "AnswerBrokenOff"),
-        [_told(cut, lines) for cut in cuts],
+        [_with_log_lines(cut, lines) for cut in cuts],
         _out_of_reach(lines),
         dict(work.done),
-        round(lateness.most_s, 2),
+        round(thread_delay.max_delay_s, 2),
     )
 
 
-def _told(cut: Cut, lines: list[dict[str, Any]]) -> dict[str, Any]:
+def _with_log_lines(cut: Cut, lines: list[dict[str, Any]]) -> dict[str, Any]:
     """Return a cut with what its gateway logged of the request."""
     logged = [line for line in lines if line.get("attempt") == cut.attempt]
     return {**cut._asdict(), "lines": logged}
--- a/features/soak/planned/store.py
+++ b/features/soak/planned/store.py
@@ -31,16 +31,16 @@
 
     def _change(self, kind: str, name: str, spec: Any, status: Any) -> dict[str, Any]:
         item = super()._change(kind, name, spec, status)
-        self._note(kind)
+        self._move_change(kind)
         return item
 
     def _gone(self, kind: str, name: str) -> None:
         before = self.revision
         super()._gone(kind, name)
         if self.revision != before:
-            self._note(kind)
+            self._move_change(kind)
 
-    def _note(self, kind: str) -> None:
+    def _move_change(self, kind: str) -> None:
         """Move the newest change to its kind and wake who watches that."""
         at, _, item, gone = self.history.pop()
         changes = self._changes[kind]
--- a/features/soak/planned/work.py
+++ b/features/soak/planned/work.py
@@ -10,9 +10,9 @@
 from collections import Counter
 from collections.abc import Callable
 
-from features.soak.claims import Claims
 from features.soak.planned.world import STOP_S, PlannedWorld
 from features.soak.promises import Record
+from features.soak.resource_locks import ResourceLocks
 from features.soak.threads import ThreadGroup
 
 #: Seconds in which a gateway that was started is ready, and in which a storage machine is emptied.
@@ -21,16 +21,21 @@
 #: Seconds that a gateway may need beyond its bound until its process is gone.
 _SLACK_S = 1.0
 #: Gateways for each strand that stops them, and the most of these strands.
-_GATEWAYS_A_STRAND = 8
-_MOST_STOPPED = 4
-_LOOK_S = 0.1
+_GATEWAYS_PER_WORKER = 8
+_MAX_STOP_WORKERS = 4
+_POLL_S = 0.1
 #: The most changes or signals in a row.
-_ROW = 6
+_MAX_REPEATS = 6
 #: A storage machine's successor stands in its zone; its number tells which.
-_NEXT_NUMBER = 9
+_SUCCESSOR_OFFSET = 9
 #: Seconds of rest behind each piece of work, by strand.
-_RESTS_S = {"content": (0.05, 1.0), "stop": (0.1, 1.0), "signal": (0.2, 1.5), "storage": (0.5, 2.0)}
-_PERIOD_S = 10
+_PAUSES_S = {
+    "content": (0.05, 1.0),
+    "stop": (0.1, 1.0),
+    "signal": (0.2, 1.5),
+    "storage": (0.5, 2.0),
+}
+_RETIREMENT_S = 10
 #: Kinds of work beside changes of the configuration.
 STOPPED, SIGNALLED, TOUCHED = "gateway stopped", "settings signalled", "settings touched"
 ADDED, REMOVED = "storage machine added", "storage machine removed"
@@ -48,11 +53,11 @@
         super().__init__()
         self._world = world
         self._record = record
-        self._claims = Claims()
+        self._resource_locks = ResourceLocks()
         self._lock = threading.Lock()
         self.done: Counter[str] = Counter()
-        stops = min(max(len(world.gateways) // _GATEWAYS_A_STRAND, 1), _MOST_STOPPED)
-        strands: list[tuple[str, Callable[[random.Random], None]]] = [
+        stops = min(max(len(world.gateways) // _GATEWAYS_PER_WORKER, 1), _MAX_STOP_WORKERS)
+        workers: list[tuple[str, Callable[[random.Random], None]]] = [
             ("content", self._change),
             ("signal", self._signal_one),
             ("storage", self._work_on_storage),
@@ -60,7 +65,7 @@
         ]
         self._threads = [
             threading.Thread(target=self._run, args=(name, work, f"{seed}/{name}/{number}"))
-            for number, (name, work) in enumerate(strands)
+            for number, (name, work) in enumerate(workers)
         ]
 
     def _run(self, name: str, work: Callable[[random.Random], None], seed: str) -> None:
@@ -68,10 +73,10 @@
         try:
             while not self._is_over.is_set():
                 work(rng)
-                self._is_over.wait(rng.uniform(*_RESTS_S[name]))
+                self._is_over.wait(rng.uniform(*_PAUSES_S[name]))
         except Exception as error:
             # Without its work the run would show less than it claims.
-            self._record.violated(f"HARNESS: the strand {name!r} ended: {error!r}")
+            self._record.note_violation(f"HARNESS: the strand {name!r} ended: {error!r}")
 
     def _count(self, kind: str) -> None:
         with self._lock:
@@ -79,15 +84,15 @@
 
     def _change(self, rng: random.Random) -> None:
         """Change the configuration once, or a few times in a row."""
-        for _ in range(rng.choice((1, 1, 2, _ROW))):
+        for _ in range(rng.choice((1, 1, 2, _MAX_REPEATS))):
             kind = rng.choice(list(self._world.content.changes))
-            with self._world.changed() as content:
+            with self._world.edited_content() as content:
                 content.change(kind)
             self._count(kind)
             time.sleep(rng.choice((0.0, 0.05)))
 
     def _stop_one(self, rng: random.Random) -> None:
-        with self._claims.one_of(self._world.gateways, rng) as name:
+        with self._resource_locks.lock_any(self._world.gateways, rng) as name:
             if name is None:
                 return
             process = self._world.kill(name, signal.SIGTERM)
@@ -95,17 +100,17 @@
             try:
                 process.wait(timeout=STOP_S + _SLACK_S)
             except subprocess.TimeoutExpired:
-                self._record.violated(f"DRAIN: {name} runs on {STOP_S} s after SIGTERM")
+                self._record.note_violation(f"DRAIN: {name} runs on {STOP_S} s after SIGTERM")
                 self._world.kill(name)
             if process.returncode:
-                self._record.violated(f"ENDED: {name} ended with {process.returncode}")
+                self._record.note_violation(f"ENDED: {name} ended with {process.returncode}")
             self._world.start_machine(name, is_gateway=True)
             self._wait(lambda: self._world.is_ready(name), _READY_S, f"{name} is ready")
 
     def _signal_one(self, rng: random.Random) -> None:
         """Touch a gateway's settings or signal it, a few times in a row."""
-        with self._claims.one_of(self._world.gateways, rng) as name:
-            for _ in range(rng.randrange(1, _ROW)):
+        with self._resource_locks.lock_any(self._world.gateways, rng) as name:
+            for _ in range(rng.randrange(1, _MAX_REPEATS)):
                 if name is not None and rng.random() < 0.5:
                     os.utime(self._world.folder / f"{name}.toml")
                     self._count(TOUCHED)
@@ -133,11 +138,11 @@
         """Add a storage machine, and have one of its zone emptied and removed."""
         world = self._world
         old = rng.choice(world.replicas)
-        new = f"storage-{int(old.rpartition('-')[2]) + _NEXT_NUMBER}"
+        new = f"storage-{int(old.rpartition('-')[2]) + _SUCCESSOR_OFFSET}"
         world.start_machine(new, is_gateway=False, is_first=True)
         world.replicas.append(new)
         self._count(ADDED)
-        world.store.put("retirements", old, {"period_s": _PERIOD_S})
+        world.store.put("retirements", old, {"period_s": _RETIREMENT_S})
         self._wait(lambda: self._is_emptied(old), _EMPTIED_S, f"{old} is emptied")
         if not self._is_emptied(old):
             return
@@ -157,6 +162,6 @@
             if self._is_over.is_set():
                 return
             if time.monotonic() > end:
-                self._record.violated(f"RECOVER: it took over {limit_s} s until {what}")
+                self._record.note_violation(f"RECOVER: it took over {limit_s} s until {what}")
                 return
-            time.sleep(_LOOK_S)
+            time.sleep(_POLL_S)
--- a/features/soak/planned/world.py
+++ b/features/soak/planned/world.py
@@ -11,7 +11,7 @@
 from typing import Any, Self
 
 from features.soak.planned.content import ENGINES, LOOKUP, Content
-from features.soak.planned.cuts import Timeouts, Written, timeouts_in_force
+from features.soak.planned.cuts import Timeouts, WrittenTimeouts, timeouts_in_force
 from features.soak.planned.store import StoreProcess
 from features.soak.promises import Record, events_of
 from features.support.platform_world import (
@@ -28,17 +28,17 @@
 STORAGE_MACHINES = 8
 #: Seconds that a machine has to end behind SIGTERM.
 STOP_S = 8.0
-_ENGINES_OF_EACH = 4
+_SERVERS_PER_ENGINE_SERVICE = 4
 _LOOKUP_SERVERS = 2
 #: Parts of the requests that servers turn away or break off.
-_TURNED_AWAY = 0.02
-_BROKEN_OFF = 0.01
+_REJECTED_SHARE = 0.02
+_BROKEN_OFF_SHARE = 0.01
 #: How long streams last, in seconds.
 SHORTEST_S, LONGEST_S = 0.3, 3.5
 _LOOKUP_S = 0.02
 
 
-def lasts_s(attempt: str) -> float:
+def stream_duration_s(attempt: str) -> float:
     """Return how long the servers work on a stream; fixed by its attempt id."""
     return random.Random(attempt).uniform(SHORTEST_S, LONGEST_S)
 
@@ -58,14 +58,14 @@
         self._rng_lock = threading.Lock()
         self._publish_lock = threading.Lock()
         self.content = Content(random.Random(f"{seed}/content"))
-        self.written: list[Written] = []
+        self.written: list[WrittenTimeouts] = []
         self.gateways = [f"edge-{number}" for number in range(gateways)]
         self.replicas = [f"storage-{number}" for number in range(STORAGE_MACHINES)]
         super().__init__(gateways, STORAGE_MACHINES, ZONES)
 
     def __enter__(self) -> Self:
         for service in ENGINES:
-            for _ in range(_ENGINES_OF_EACH):
+            for _ in range(_SERVERS_PER_ENGINE_SERVICE):
                 self.add_server(service, self._run_stream)
         for _ in range(_LOOKUP_SERVERS):
             self.add_server(LOOKUP, self._look_up)
@@ -85,17 +85,19 @@
 
     def publish(self) -> int:
         """Write the configuration; return its version."""
-        with self.changed():
+        with self.edited_content():
             pass
         return self.version
 
     @contextmanager
-    def changed(self) -> Iterator[Content]:
+    def edited_content(self) -> Iterator[Content]:
         """Write the configuration when the context is left, as it was changed there."""
         with self._publish_lock:
             yield self.content
             self.version += 3
-            self.written.append(Written(self.version, time.monotonic(), self.content.timeouts_s))
+            self.written.append(
+                WrittenTimeouts(self.version, time.monotonic(), self.content.timeouts_s)
+            )
             self.store.put("config", "main", {"version": self.version, **self.content.spec})
 
     # Servers
@@ -105,13 +107,13 @@
             return self._rng.random()
 
     def _run_stream(self, call: QuietHandler, arrival: Arrival) -> bool:
-        if self._turns_away(call, arrival):
+        if self._rejects(call, arrival):
             return True
         attempt = arrival.attempt_id
         count = events_of(attempt)
-        broken_at = int(self._chance() * count) if self._chance() < _BROKEN_OFF else None
+        broken_at = int(self._chance() * count) if self._chance() < _BROKEN_OFF_SHARE else None
         if broken_at is not None:
-            self._record.broke_off(attempt)
+            self._record.note_broken_off(attempt)
         try:
             begin_stream(call, arrival)
             for number in range(1, count + 1):
@@ -119,7 +121,7 @@
                     call.close_connection = True
                     return True
                 send_chunk(call, event(number))
-                time.sleep(lasts_s(attempt) / count)
+                time.sleep(stream_duration_s(attempt) / count)
             call.wfile.write(b"0\r\n\r\n")
         except OSError:
             # The gateway cancelled it; what its caller saw is judged, not what a server saw.
@@ -127,27 +129,27 @@
         return True
 
     def _look_up(self, call: QuietHandler, arrival: Arrival) -> bool:
-        if not self._turns_away(call, arrival):
+        if not self._rejects(call, arrival):
             time.sleep(_LOOKUP_S)
             call.answer(200, arrival.attempt_id.encode(), own_headers(arrival))
         return True
 
-    def _turns_away(self, call: QuietHandler, arrival: Arrival) -> bool:
-        self._record.reached(arrival.attempt_id)
-        if self._chance() < _TURNED_AWAY:
+    def _rejects(self, call: QuietHandler, arrival: Arrival) -> bool:
+        self._record.note_reached(arrival.attempt_id)
+        if self._chance() < _REJECTED_SHARE:
             call.answer(503, b"", {"X-Not-Executed": "1", "X-Attempt-Id": arrival.attempt_id})
             return True
-        self._record.arrived(arrival.attempt_id, arrival.body)
+        self._record.note_started(arrival.attempt_id, arrival.body)
         return False
 
     # Machines
 
-    def look_at_ends(self) -> None:
+    def check_all_running(self) -> None:
         """Note machines that ended by themselves, when all of them should run."""
         for name in [*self.replicas, *self.gateways]:
             code = self.processes[name].poll()
             if code is not None:
-                self._record.violated(f"ENDED: {name} ended by itself, exit code {code}")
+                self._record.note_violation(f"ENDED: {name} ended by itself, exit code {code}")
 
     def listens(self, name: str) -> bool:
         """Return whether other machines can connect to a machine."""
--- a/features/soak/promises.py
+++ b/features/soak/promises.py
@@ -26,7 +26,7 @@
     return 1 + sum(attempt.encode()) % (TURN_TOKENS // EVENT_TOKENS)
 
 
-class Sent(NamedTuple):
+class SentRequest(NamedTuple):
     """A request that was sent whole.
 
     :param at: moment of the monotonic clock.
@@ -36,7 +36,7 @@
     at: float
 
 
-class Ended(NamedTuple):
+class AttemptEnd(NamedTuple):
     """How an attempt ended for its client.
 
     :param status: 0 if the connection ended without an answer.
@@ -50,7 +50,7 @@
     at: float = 0.0
 
 
-class Attempted(NamedTuple):
+class FinishedAttempt(NamedTuple):
     """An attempt that was sent whole and has ended.
 
     :param was_taken: whether the gateway has surely read it: it reached a server, its answer
@@ -59,8 +59,8 @@
     """
 
     attempt: str
-    sent: Sent
-    end: Ended
+    sent: SentRequest
+    end: AttemptEnd
     was_taken: bool
     was_broken_off: bool
 
@@ -74,8 +74,8 @@
         self._expected: dict[str, bytes] = {}
         self._programs: dict[str, str] = {}
         self._budgets: dict[str, int] = {}
-        self._sent: dict[str, Sent] = {}
-        self._ended: dict[str, Ended] = {}
+        self._sent: dict[str, SentRequest] = {}
+        self._ended: dict[str, AttemptEnd] = {}
         self._read: set[str] = set()
         self._reached: set[str] = set()
         self._broken_off: set[str] = set()
@@ -83,59 +83,59 @@
         self._went_on: list[tuple[str, str, list[str]]] = []
         self._violations: list[str] = []
 
-    def begin_program(self, program: str, budget: int) -> None:
+    def note_program(self, program: str, budget: int) -> None:
         """Note a program and the tokens that it may emit."""
         with self._lock:
             self._budgets[program] = budget
 
-    def begin(self, attempt: str, expected: bytes, program: str = "") -> None:
+    def note_attempt(self, attempt: str, expected: bytes, program: str = "") -> None:
         """Note an attempt and the body that servers are to get, before it is sent."""
         with self._lock:
             self._expected[attempt] = expected
             self._programs[attempt] = program
 
-    def sent(self, attempt: str, sent: Sent) -> None:
+    def note_sent(self, attempt: str, sent: SentRequest) -> None:
         """Note that an attempt was sent whole."""
         with self._lock:
             self._sent[attempt] = sent
 
-    def read(self, attempts: Iterable[str]) -> None:
+    def note_admitted(self, attempts: Iterable[str]) -> None:
         """Note attempts that gateways read whole."""
         with self._lock:
             self._read.update(attempts)
 
-    def reached(self, attempt: str) -> None:
+    def note_reached(self, attempt: str) -> None:
         """Note that a server got an attempt, whether or not it turns it away."""
         with self._lock:
             self._reached.add(attempt)
 
-    def arrived(self, attempt: str, body: bytes) -> None:
+    def note_started(self, attempt: str, body: bytes) -> None:
         """Note that a server began to work on an attempt."""
         with self._lock:
             self._reached.add(attempt)
             self._arrived[attempt].append(body)
 
-    def broke_off(self, attempt: str) -> None:
+    def note_broken_off(self, attempt: str) -> None:
         """Note that a server broke off its answer to an attempt."""
         with self._lock:
             self._broken_off.add(attempt)
 
-    def went_on(self, turn: str, gateway: str, attempts: list[str]) -> None:
+    def note_continued(self, turn: str, gateway: str, attempts: list[str]) -> None:
         """Note the attempts with which a program went on from an answered turn, all at once."""
         with self._lock:
             self._went_on.append((turn, gateway, attempts))
 
-    def ended(self, attempt: str, end: Ended) -> None:
+    def note_ended(self, attempt: str, end: AttemptEnd) -> None:
         """Note how an attempt ended for its client."""
         with self._lock:
             self._ended[attempt] = end
 
-    def violated(self, text: str) -> None:
+    def note_violation(self, text: str) -> None:
         """Note a broken promise that was seen at once."""
         with self._lock:
             self._violations.append(text)
 
-    def has_reached(self, attempts: Iterable[str]) -> bool:
+    def any_reached(self, attempts: Iterable[str]) -> bool:
         """Return whether a server got one of some attempts."""
         with self._lock:
             return not self._reached.isdisjoint(attempts)
@@ -146,11 +146,11 @@
         with self._lock:
             return sum(end.status == 200 and end.is_whole for end in self._ended.values())
 
-    def attempted(self) -> list[Attempted]:
+    def finished_attempts(self) -> list[FinishedAttempt]:
         """Return the attempts that were sent whole and have ended."""
         with self._lock:
             return [
-                Attempted(
+                FinishedAttempt(
                     attempt,
                     sent,
                     self._ended[attempt],
@@ -209,14 +209,14 @@
             if attempt in self._ended and self._is_cut(attempt, sent, self._ended[attempt])
         ]
 
-    def _is_cut(self, attempt: str, sent: Sent, end: Ended) -> bool:
+    def _is_cut(self, attempt: str, sent: SentRequest, end: AttemptEnd) -> bool:
         """Return whether planned work alone ended a request that its gateway had read."""
         if end.is_whole or attempt in self._broken_off or end.at - sent.at >= DEADLINE_S:
             return False
         was_taken = self._was_taken(attempt, sent, end)
-        return was_taken and self.disruptions.is_planned_alone(sent.gateway, sent.at, end.at)
+        return was_taken and self.disruptions.has_only_planned_work(sent.gateway, sent.at, end.at)
 
-    def _was_taken(self, attempt: str, sent: Sent, end: Ended) -> bool:
+    def _was_taken(self, attempt: str, sent: SentRequest, end: AttemptEnd) -> bool:
         is_held = attempt in self._read and end.at - sent.at > LOSS_SLACK_S
         return end.status != 0 or attempt in self._reached or is_held
 
--- a/features/soak/proxy.py
+++ b/features/soak/proxy.py
@@ -11,7 +11,7 @@
 from typing import Self
 
 _CHUNK_BYTES = 65536
-_LOOK_S = 0.02
+_POLL_S = 0.02
 #: Milliseconds for which a direction without bytes waits, if nothing wakes it before. A connection
 #: that its other direction has reset ends only behind that.
 _IDLE_MS = 100
@@ -41,7 +41,7 @@
         #: Has a byte to read while bytes do not just pass, which wakes all directions.
         self._woken, self._waker = socket.socketpair()
         self._accepted = 0
-        self._silent_up_to = 0
+        self._last_silenced = 0
         self._target = target
         self._is_open = True
         self._mode_lock = threading.Lock()
@@ -77,7 +77,7 @@
 
     def silence_open(self) -> None:
         """Let connections that are open now say nothing more, for good; new ones pass."""
-        self._silent_up_to = self._accepted
+        self._last_silenced = self._accepted
 
     def _accept(self) -> None:
         while self._is_open:
@@ -90,7 +90,7 @@
             threading.Thread(target=self._serve, args=arguments, daemon=True).start()
 
     def _serve(self, conn: socket.socket, number: int) -> None:
-        if not self._wait_for_passage():
+        if not self._wait_until_open():
             _reset(conn)
             return
         host, _, port = self._target().partition(":")
@@ -111,15 +111,15 @@
         conn.close()
         upstream.close()
 
-    def _wait_for_passage(self) -> bool:
+    def _wait_until_open(self) -> bool:
         """Wait while silent; return whether bytes may pass."""
         while self._is_open and self.mode is Mode.SILENT:
-            time.sleep(_LOOK_S)
+            time.sleep(_POLL_S)
         return self._is_open and self.mode is not Mode.REFUSE
 
     def _pump(self, source: socket.socket, sink: socket.socket, number: int) -> None:
         while True:
-            if not self._wait_for_passage():
+            if not self._wait_until_open():
                 _reset(source)
                 _reset(sink)
                 return
@@ -131,12 +131,12 @@
                 # The other direction ended the connection.
                 _reset(sink)
                 return
-            if number <= self._silent_up_to and data:
+            if number <= self._last_silenced and data:
                 # Taken from its sender, and never seen again.
                 continue
             if self.mode is Mode.SLOW:
                 time.sleep(_SLOW_S)
-            if not self._wait_for_passage() or not _pass_on(data, sink):
+            if not self._wait_until_open() or not _pass_on(data, sink):
                 _reset(source)
                 _reset(sink)
                 return
@@ -150,7 +150,7 @@
         is_passing = self._mode is Mode.PASS
         if is_passing:
             arrivals.register(self._woken, select.POLLIN)
-        found = arrivals.poll(_IDLE_MS if is_passing else _LOOK_S * 1000.0)
+        found = arrivals.poll(_IDLE_MS if is_passing else _POLL_S * 1000.0)
         return any(descriptor != self._woken.fileno() for descriptor, _ in found)
 
 
--- a/features/soak/claims.py
+++ b/features/soak/resource_locks.py
@@ -6,7 +6,7 @@
 from contextlib import contextmanager
 
 
-class Claims:
+class ResourceLocks:
     """Names that strands hold; thread-safe."""
 
     def __init__(self) -> None:
@@ -15,7 +15,7 @@
         self._wanted: set[str] = set()
 
     @contextmanager
-    def one_of(self, names: list[str], rng: random.Random) -> Iterator[str | None]:
+    def lock_any(self, names: list[str], rng: random.Random) -> Iterator[str | None]:
         """Hold one of some names until the context is left; None if none is free."""
         with self._changed:
             free = [name for name in names if name not in self._held | self._wanted]
@@ -27,7 +27,7 @@
             self._release({name})
 
     @contextmanager
-    def all_of(self, names: list[str]) -> Iterator[bool]:
+    def lock_all(self, names: list[str]) -> Iterator[bool]:
         """Hold names until the context is left, once they are free.
 
         False is given at once if another strand already waits for any of them.
--- a/features/soak/run.py
+++ b/features/soak/run.py
@@ -4,20 +4,20 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
+from features.soak.continuations import RECOVER_S
 from features.soak.disks import Disks
-from features.soak.final import Final, FinalFaults, Outcome
-from features.soak.lateness import Lateness
+from features.soak.fault_workers import FaultWorkers
+from features.soak.final import FinalFault, FinalFaultInjector, FinalFaultResult
 from features.soak.promises import Record
-from features.soak.returns import RECOVER_S
-from features.soak.strands import Strands
+from features.soak.thread_delay import ThreadDelay
 from features.soak.workload import Workload
 from features.soak.world import SoakWorld
 
 #: Seconds of planned work alone, before all kinds of faults.
 PLANNED_S = 5.0
 STRANDS = 3
-_QUIET_S = 1.5
-_LOOK_S = 0.2
+_SETTLE_S = 1.5
+_POLL_S = 0.2
 
 
 class Result(NamedTuple):
@@ -34,7 +34,7 @@
     served: int
     outcomes: dict[int, int]
     faults: dict[str, int]
-    finals: list[dict[str, Any]]
+    final_faults: list[dict[str, Any]]
     late_s: float
 
 
@@ -54,49 +54,49 @@
     :param strands: how many faults there are at most at once.
     """
     record = Record()
-    finals: list[Outcome] = []
-    with Lateness() as lateness, SoakWorld(record, seed, gateways, replicas) as world:
+    final_faults: list[FinalFaultResult] = []
+    with ThreadDelay() as thread_delay, SoakWorld(record, seed, gateways, replicas) as world:
         disks = Disks(world, record.disruptions)
-        faults = Strands(world, record, disks, seed, strands)
+        faults = FaultWorkers(world, record, disks, seed, strands)
         with Workload(world, record, seed, clients) as workload:
-            final = FinalFaults(world, record, disks, workload.answered, seed)
+            final = FinalFaultInjector(world, record, disks, workload.answered, seed)
             try:
-                faults.work_until(time.monotonic() + PLANNED_S)
-                faults.strike_until(time.monotonic() + seconds_s)
-                _recovered(record)
-                for number, kind in enumerate(_finals(seed)):
-                    finals.append(final.strike(kind, is_full=number > 0))
-                    _recovered(record)
+                faults.do_planned_work_until(time.monotonic() + PLANNED_S)
+                faults.inject_until(time.monotonic() + seconds_s)
+                _wait_recovered(record)
+                for number, kind in enumerate(_final_faults(seed)):
+                    final_faults.append(final.inject(kind, is_loaded=number > 0))
+                    _wait_recovered(record)
             except (AssertionError, TimeoutError) as error:
-                record.violated(f"RECOVER: {error}")
-        world.look_at_ends()
-        record.read(world.read_attempts())
+                record.note_violation(f"RECOVER: {error}")
+        world.check_all_running()
+        record.note_admitted(world.admitted_attempts())
         violations = record.violations()
         if violations and keep is not None:
             world.keep_logs(keep / f"seed-{seed}")
-    told = [one._asdict() | {"returned": one.returned._asdict()} for one in finals]
+    final_results = [one._asdict() | {"returned": one.returned._asdict()} for one in final_faults]
     return Result(
         violations,
         record.served,
         dict(record.outcomes()),
-        dict(faults.struck),
-        told,
-        round(lateness.most_s, 2),
+        dict(faults.injected),
+        final_results,
+        round(thread_delay.max_delay_s, 2),
     )
 
 
-def _finals(seed: int) -> list[Final]:
+def _final_faults(seed: int) -> list[FinalFault]:
     """Return the final faults of a seed: each kind once, every other seed the other way round."""
-    kinds = list(Final)
+    kinds = list(FinalFault)
     return kinds if seed % 2 else kinds[::-1]
 
 
-def _recovered(record: Record) -> None:
+def _wait_recovered(record: Record) -> None:
     """Wait until attempts are served again; raise AssertionError if they are not."""
     end = time.monotonic() + RECOVER_S
-    time.sleep(_QUIET_S)
+    time.sleep(_SETTLE_S)
     before = record.served
     while record.served < before + 20:
         if time.monotonic() > end:
             raise AssertionError(f"only {record.served - before} attempts served after the faults")
-        time.sleep(_LOOK_S)
+        time.sleep(_POLL_S)
--- a/features/soak/crowd.py
+++ b/features/soak/slot_pressure.py
@@ -9,42 +9,45 @@
 from features.soak.threads import ThreadGroup
 from features.soak.turns import NO_TURN, Program, send_turn
 from features.soak.workload import FINISH_S
-from features.soak.world import LONG, SoakWorld
+from features.soak.world import LONG_PREFIX, SoakWorld
 
 #: Programs at once, in parts of the servers' places: more than they may hold of new programs.
-_PRESSURE = 1.6
+_PROGRAMS_PER_SLOT = 1.6
 #: Part of the places from which servers count as nearly full.
 _FULL_SHARE = 0.8
 _TRIES = 6
 _BUDGET = 400
-_LOOK_S = 0.05
+_POLL_S = 0.05
 
 
-class Crowd(ThreadGroup):
+class SlotPressure(ThreadGroup):
     """Programs of one long turn each, in threads, until it is left.
 
-    :ivar most_taken: the most places that were seen taken.
+    :ivar max_active_turns: the most places that were seen taken.
     """
 
     def __init__(self, world: SoakWorld, record: Record, name: str) -> None:
         super().__init__()
         self._world = world
         self._record = record
-        self.most_taken = 0
+        self.max_active_turns = 0
         self._threads = [
-            threading.Thread(target=self._run, args=(f"{LONG}{name}-{number}",))
-            for number in range(round(_PRESSURE * world.places))
+            threading.Thread(target=self._run, args=(f"{LONG_PREFIX}{name}-{number}",))
+            for number in range(round(_PROGRAMS_PER_SLOT * world.total_slots))
         ]
         self._threads.append(threading.Thread(target=self._watch))
 
     def wait_full(self, end: float) -> None:
         """Wait until the servers are nearly full, or for a moment of the monotonic clock."""
-        while time.monotonic() < end and self._world.taken < _FULL_SHARE * self._world.places:
-            self._is_over.wait(_LOOK_S)
+        while (
+            time.monotonic() < end
+            and self._world.active_turns < _FULL_SHARE * self._world.total_slots
+        ):
+            self._is_over.wait(_POLL_S)
 
     def _watch(self) -> None:
-        while not self._is_over.wait(_LOOK_S):
-            self.most_taken = max(self.most_taken, self._world.taken)
+        while not self._is_over.wait(_POLL_S):
+            self.max_active_turns = max(self.max_active_turns, self._world.active_turns)
 
     def _run(self, name: str) -> None:
         rng = random.Random(name)
@@ -56,7 +59,7 @@
 
     def _program(self, rng: random.Random, client: Client, name: str) -> None:
         program = Program(name, _BUDGET, time.monotonic() + FINISH_S)
-        self._record.begin_program(name, _BUDGET)
+        self._record.note_program(name, _BUDGET)
         for number in range(_TRIES):
             if self._is_over.is_set():
                 return
--- a/features/soak/lateness.py
+++ b/features/soak/thread_delay.py
@@ -7,14 +7,14 @@
 _STEP_S = 0.05
 
 
-class Lateness:
+class ThreadDelay:
     """Measures from when it is entered until it is left.
 
-    :ivar most_s: by how much a thread that sleeps came late at most.
+    :ivar max_delay_s: by how much a thread that sleeps came late at most.
     """
 
     def __init__(self) -> None:
-        self.most_s = 0.0
+        self.max_delay_s = 0.0
         self._is_over = threading.Event()
         self._thread = threading.Thread(target=self._run)
 
@@ -30,5 +30,5 @@
         due = time.monotonic() + _STEP_S
         while not self._is_over.wait(max(due - time.monotonic(), 0.0)):
             now = time.monotonic()
-            self.most_s = max(self.most_s, now - due)
+            self.max_delay_s = max(self.max_delay_s, now - due)
             due = now + _STEP_S
--- a/features/soak/turns.py
+++ b/features/soak/turns.py
@@ -57,25 +57,25 @@
 
 
 def send_turn(
-    client: Client, record: Record, gateway: str, program: Program, attempt: str, before: Turn
+    client: Client, record: Record, gateway: str, program: Program, attempt: str, previous: Turn
 ) -> tuple[Turn | None, int]:
     """Send a turn; return it if it was answered whole, and the status."""
     body = f"input of {attempt}".encode()
-    expected = before.chain + body
-    record.begin(attempt, expected, program.name)
-    end = client.send(gateway, CHAT, attempt, body, _headers(program, expected, before))
-    if end.status in TURN_UNKNOWN and before.attempt:
-        record.violated(f"LOST: {before.attempt} is unknown to {attempt}, {end.status}")
+    expected = previous.chain + body
+    record.note_attempt(attempt, expected, program.name)
+    end = client.send(gateway, CHAT, attempt, body, _headers(program, expected, previous))
+    if end.status in TURN_UNKNOWN and previous.attempt:
+        record.note_violation(f"LOST: {previous.attempt} is unknown to {attempt}, {end.status}")
     if end.status != 200 or not end.is_whole:
         return None, end.status
     count = events_of(attempt)
     if end.body != b"".join(event(number) for number in range(1, count + 1)):
-        record.violated(f"ORDER: {attempt} got {end.body!r}")
+        record.note_violation(f"ORDER: {attempt} got {end.body!r}")
     output = b"".join(b"piece-%d\n" % number for number in range(1, count + 1))
     return Turn(attempt, expected + output, end.at), end.status
 
 
-def _headers(program: Program, expected: bytes, before: Turn) -> dict[str, str]:
+def _headers(program: Program, expected: bytes, previous: Turn) -> dict[str, str]:
     finish_ms = max(round((program.finish_at - time.monotonic()) * 1000.0), 1)
     own_tokens = program.own_tokens + len(expected)
     headers = {
@@ -86,6 +86,6 @@
         "X-Token-Count": f"{program.own_tokens},{TURN_TOKENS}",
         "X-Prompt-Prefix": f"5eed:1000,{program.name}:{own_tokens}",
     }
-    if before.attempt:
-        headers["X-Previous-Turn"] = before.attempt
+    if previous.attempt:
+        headers["X-Previous-Turn"] = previous.attempt
     return headers
--- a/features/soak/workload.py
+++ b/features/soak/workload.py
@@ -44,16 +44,16 @@
 
     def _look_up(self, rng: random.Random, client: Client, name: str) -> None:
         body = f"lookup {name}".encode()
-        self._record.begin(name, body)
+        self._record.note_attempt(name, body)
         end = client.send(rng.choice(self._world.gateways), LOOKUP, name, body, {})
         if end.status == 200 and end.is_whole and end.body != name.encode():
-            self._record.violated(f"MIXED: {name} got {end.body!r}")
+            self._record.note_violation(f"MIXED: {name} got {end.body!r}")
         self._is_over.wait(0.02)
 
     def _program(self, rng: random.Random, client: Client, name: str) -> None:
         budget = rng.choice((60, 150, 400))
         program = Program(name, budget, time.monotonic() + FINISH_S)
-        self._record.begin_program(name, budget)
+        self._record.note_program(name, budget)
         turn = NO_TURN
         failures = 0
         for step in range(rng.randrange(2, 9)):
--- a/features/soak/world.py
+++ b/features/soak/world.py
@@ -29,13 +29,13 @@
 _LOOKUP_SERVERS = 2
 _CHAT_SERVERS = 3
 #: Parts of the requests that servers turn away, lose the answer of, or break off.
-_TURNED_AWAY = 0.03
-_ANSWER_LOST = 0.02
-_BROKEN_OFF = 0.02
-_PAUSE_S = 0.01
+_REJECTED_SHARE = 0.03
+_LOST_ANSWER_SHARE = 0.02
+_BROKEN_OFF_SHARE = 0.02
+_EVENT_PAUSE_S = 0.01
 #: How ids of attempts begin that hold a place for long, and the pause behind each of their events.
-LONG = "long-"
-_LONG_PAUSE_S = 0.5
+LONG_PREFIX = "long-"
+_LONG_EVENT_PAUSE_S = 0.5
 #: Starts a machine whose time of day is off by the seconds in the first argument.
 _START = (
     "import runpy, sys, time; off = float(sys.argv.pop(1)); real = time.time;"
@@ -54,9 +54,9 @@
         self._clock_rng = random.Random(f"{seed}/clocks")
         self._publish_lock = threading.Lock()
         #: Turns that servers work on.
-        self.taken = 0
+        self.active_turns = 0
         #: Where the log of each machine's present process begins.
-        self._log_from: defaultdict[str, int] = defaultdict(int)
+        self._log_offsets: defaultdict[str, int] = defaultdict(int)
         self.store_proxies: dict[str, Proxy] = {}
         self.server_proxies: dict[str, Proxy] = {}
         super().__init__(gateways, replicas)
@@ -110,45 +110,47 @@
             return self._rng.random()
 
     def _chat(self, call: QuietHandler, arrival: Arrival) -> bool:
-        if self._turns_away(call, arrival):
+        if self._rejects(call, arrival):
             return True
         events = range(1, events_of(arrival.attempt_id) + 1)
-        is_whole = self._chance() >= _BROKEN_OFF
+        is_whole = self._chance() >= _BROKEN_OFF_SHARE
         if not is_whole:
-            self._record.broke_off(arrival.attempt_id)
-        pause_s = _LONG_PAUSE_S if arrival.attempt_id.startswith(LONG) else _PAUSE_S
-        self._count(1)
+            self._record.note_broken_off(arrival.attempt_id)
+        pause_s = (
+            _LONG_EVENT_PAUSE_S if arrival.attempt_id.startswith(LONG_PREFIX) else _EVENT_PAUSE_S
+        )
+        self._change_active_turns(1)
         try:
             return stream(call, arrival, events, pause=pause_s, is_whole=is_whole)
         finally:
-            self._count(-1)
+            self._change_active_turns(-1)
 
-    def _count(self, change: int) -> None:
+    def _change_active_turns(self, change: int) -> None:
         with self._rng_lock:
-            self.taken += change
+            self.active_turns += change
 
     @property
-    def places(self) -> int:
+    def total_slots(self) -> int:
         """Return how many turns the servers work on at once."""
         return _CHAT_SERVERS * SLOTS
 
     def _look_up(self, call: QuietHandler, arrival: Arrival) -> bool:
-        if self._turns_away(call, arrival):
+        if self._rejects(call, arrival):
             return True
         time.sleep(0.02)
-        if self._chance() < _ANSWER_LOST:
-            self._record.broke_off(arrival.attempt_id)
+        if self._chance() < _LOST_ANSWER_SHARE:
+            self._record.note_broken_off(arrival.attempt_id)
             call.close_connection = True
             return True
         call.answer(200, arrival.attempt_id.encode(), own_headers(arrival))
         return True
 
-    def _turns_away(self, call: QuietHandler, arrival: Arrival) -> bool:
-        self._record.reached(arrival.attempt_id)
-        if self._chance() < _TURNED_AWAY:
+    def _rejects(self, call: QuietHandler, arrival: Arrival) -> bool:
+        self._record.note_reached(arrival.attempt_id)
+        if self._chance() < _REJECTED_SHARE:
             call.answer(503, b"", {"X-Not-Executed": "1", "X-Attempt-Id": arrival.attempt_id})
             return True
-        self._record.arrived(arrival.attempt_id, arrival.body)
+        self._record.note_started(arrival.attempt_id, arrival.body)
         return False
 
     # Machines
@@ -160,28 +162,28 @@
 
     def kill(self, name: str, number: int = signal.SIGKILL) -> subprocess.Popen:
         """Send a signal to a machine's process, which is to be there still."""
-        self._look_at_end(name)
+        self._check_running(name)
         return super().kill(name, number)
 
     def kill_all(self, names: list[str]) -> None:
         """Kill machines at the same moment."""
         for name in names:
-            self._look_at_end(name)
+            self._check_running(name)
             self.processes[name].send_signal(signal.SIGKILL)
         for name in names:
             self.processes[name].wait()
 
-    def look_at_ends(self) -> None:
+    def check_all_running(self) -> None:
         """Note machines that ended by themselves, when all of them should run."""
         for name in self.machines:
-            self._look_at_end(name)
+            self._check_running(name)
 
-    def _look_at_end(self, name: str) -> None:
+    def _check_running(self, name: str) -> None:
         code = self.processes[name].poll()
         if code is not None:
-            self._record.violated(f"ENDED: {name} ended by itself, exit code {code}")
+            self._record.note_violation(f"ENDED: {name} ended by itself, exit code {code}")
 
-    def read_attempts(self) -> set[str]:
+    def admitted_attempts(self) -> set[str]:
         """Return the attempts that gateways logged as read whole."""
         found = set()
         for name in self.gateways:
@@ -192,14 +194,14 @@
 
     def restart(self, name: str) -> subprocess.Popen:
         """Start a machine's process again, not for the first time."""
-        self._log_from[name] = self._log_path(name).stat().st_size
+        self._log_offsets[name] = self._log_path(name).stat().st_size
         self.start_machine(name, is_gateway=name in self.gateways)
         return self.processes[name]
 
     def has_started(self, name: str) -> bool:
         """Return whether a machine's process told that it has started."""
         with self._log_path(name).open("rb") as log:
-            log.seek(self._log_from[name])
+            log.seek(self._log_offsets[name])
             return b'"change":"started"' in log.read()
 
     def _log_path(self, name: str) -> Path:
--- a/features/steps/mixed_release_steps.py
+++ b/features/steps/mixed_release_steps.py
@@ -27,7 +27,7 @@
 
 ANSWER = StatusReply("storage-0", "disk", 1, True, 1)
 #: What a later release may send: a type code that no message has yet, and some body.
-LATER = struct.pack(">H", 65000) + b"later"
+UNKNOWN_MESSAGE = struct.pack(">H", 65000) + b"later"
 HEADER = struct.Struct(">II")
 #: Groups that are asked about: by two requests that stay under way, and by another one.
 GROUPS = FIRST, SECOND, OTHER = (0, 1, 2)
@@ -35,10 +35,10 @@
 FAILING = 9
 #: Time-out of a request, and the time that the machines of a scenario get to act.
 TIMEOUT_S = 0.15
-MOST_S = 2.0
+MAX_WAIT_S = 2.0
 
 
-class _Lines:
+class _LogLines:
     """A log and the lines that it wrote.
 
     :ivar counted: every decision, written or not.
@@ -49,8 +49,8 @@
         context.add_cleanup(os.close, descriptor)
         self._path = Path(name)
         context.add_cleanup(self._path.unlink)
-        self.counted: list[Decision] = []
-        self.log = DecisionLog("storage-0", self.counted.append, descriptor)
+        self.decisions: list[Decision] = []
+        self.log = DecisionLog("storage-0", self.decisions.append, descriptor)
 
     def of(self, kind: str) -> list[dict[str, Any]]:
         """Return the lines of a kind."""
@@ -62,7 +62,7 @@
     """A connection that sends what it is told to."""
 
     def __init__(self, context: Context, address: tuple[str, int]) -> None:
-        self._socket = green_socket.create_connection(address, MOST_S)
+        self._socket = green_socket.create_connection(address, MAX_WAIT_S)
         context.add_cleanup(self._socket.close)
         self.address = "{}:{}".format(*self._socket.getsockname())
 
@@ -98,16 +98,16 @@
         return data
 
 
-def _until(is_so: Callable[[], object], limit_s: float = MOST_S) -> None:
+def _wait_until(condition: Callable[[], object], limit_s: float = MAX_WAIT_S) -> None:
     end = time.monotonic() + limit_s
-    while not is_so():
+    while not condition():
         assert time.monotonic() < end, "not within the time"
         eventlet.sleep(0.01)
 
 
-def _assert_line(lines: _Lines, count: int, kind: str, reason: str) -> list[str]:
+def _assert_line(lines: _LogLines, count: int, kind: str, reason: str) -> list[str]:
     """Return the peers of a kind's lines."""
-    _until(lambda: len(lines.of(kind)) >= count)
+    _wait_until(lambda: len(lines.of(kind)) >= count)
     found = lines.of(kind)
     assert len(found) == count, found
     assert all(reason in line["reason"] for line in found), found
@@ -125,7 +125,7 @@
 
 @given("a replica that logs what it cannot read")
 def logging_replica(context: Context) -> None:
-    context.lines = _Lines(context)
+    context.lines = _LogLines(context)
     listener = eventlet.listen(("127.0.0.1", 0))
     context.address = listener.getsockname()
     serving = eventlet.spawn(serve_requests, listener, _answer, context.lines.log)
@@ -144,7 +144,7 @@
 def later_among_known(context: Context) -> None:
     context.peer = _Peer(context, context.address)
     context.peer.send(1, encode(AskStatus(0)))
-    context.peer.send(2, LATER)
+    context.peer.send(2, UNKNOWN_MESSAGE)
     context.peer.send(3, encode(AskStatus(0)))
 
 
@@ -162,9 +162,9 @@
 def many_later(context: Context, count: int, seconds: float) -> None:
     context.peer = _Peer(context, context.address)
     for number in range(1, count + 1):
-        context.peer.send(number, LATER)
+        context.peer.send(number, UNKNOWN_MESSAGE)
         eventlet.sleep(seconds / count)
-    _until(lambda: len(context.lines.counted) == count)
+    _wait_until(lambda: len(context.lines.decisions) == count)
 
 
 @then('its log has a line "{kind}" for each second at most')
@@ -177,8 +177,8 @@
 def all_counted(context: Context, count: int) -> None:
     # What was left out is told with the first line of a later second.
     eventlet.sleep(1.0)
-    context.peer.send(count + 1, LATER)
-    _until(lambda: len(context.lines.counted) == count + 1)
+    context.peer.send(count + 1, UNKNOWN_MESSAGE)
+    _wait_until(lambda: len(context.lines.decisions) == count + 1)
     written = len(context.lines.of("MessageDropped")) - 1
     left_out = sum(line["count"] for line in context.lines.of("LinesLeftOut"))
     assert written + left_out == count, (written, left_out)
@@ -211,7 +211,7 @@
 
 @then('its log has 1 line "InternalFault" whose trace has "{text}"')
 def fault_line(context: Context, text: str) -> None:
-    _until(lambda: context.lines.of("InternalFault"))
+    _wait_until(lambda: context.lines.of("InternalFault"))
     (line,) = context.lines.of("InternalFault")
     assert text in line["trace"], line
 
@@ -231,7 +231,7 @@
 
 
 def _relayed_links(context: Context) -> RelayedLinkTable:
-    context.lines = _Lines(context)
+    context.lines = _LogLines(context)
     return RelayedLinkTable("edge-1", context.lines.log, time.monotonic)
 
 
@@ -241,8 +241,11 @@
 
 
 @when('gateway "{name}" asks it to pass on {what}')
-def asks_to_pass_on(context: Context, name: str, what: str) -> None:
-    body = {"a request of a later release": LATER, "a request cut short": encode(AskStatus(0))[:2]}
+def asks_to_forward(context: Context, name: str, what: str) -> None:
+    body = {
+        "a request of a later release": UNKNOWN_MESSAGE,
+        "a request cut short": encode(AskStatus(0))[:2],
+    }
     context.replies = []
     context.forwarder.handle(Forward(name, "127.0.0.1:9", body[what]), context.replies.append)
 
@@ -259,14 +262,17 @@
 
 
 @when("the neighbour brings {what}")
-def neighbour_brings(context: Context, what: str) -> None:
-    body = {"an answer of a later release": LATER, "an answer cut short": encode(ANSWER)[:4]}
-    brought = Forwarded(ForwardStatus.OK, body[what])
-    context.read = context.links.read(context.neighbour, brought)
+def neighbour_answers(context: Context, what: str) -> None:
+    body = {
+        "an answer of a later release": UNKNOWN_MESSAGE,
+        "an answer cut short": encode(ANSWER)[:4],
+    }
+    forwarded = Forwarded(ForwardStatus.OK, body[what])
+    context.read = context.links.read(context.neighbour, forwarded)
 
 
 @then("the request has no answer from it")
-def nothing_brought(context: Context) -> None:
+def no_answer_read(context: Context) -> None:
     assert context.read is None
 
 
@@ -278,7 +284,7 @@
 # A link to a replica of a later release
 
 
-class _LaterReplica:
+class _LaterReleaseReplica:
     """Answers the frames of a link with bytes that a scenario chooses.
 
     :ivar body_of: returns the answer to a group's question; None for none yet.
@@ -329,16 +335,16 @@
 
 @given("a link to a replica of a later release")
 def link_to_later(context: Context) -> None:
-    context.lines = _Lines(context)
-    context.replica = _LaterReplica(context)
+    context.lines = _LogLines(context)
+    context.replica = _LaterReleaseReplica(context)
     context.link = Link(context.replica.address, context.lines.log, time.monotonic)
     context.add_cleanup(context.link.close)
     assert context.link.call(AskStatus(FIRST), TIMEOUT_S) == ANSWER
 
 
 @when("two requests are under way and another one's answer is {what}")
-def under_way_beside(context: Context, what: str) -> None:
-    other = {"of a later release": LATER, "cut short": encode(ANSWER)[:4]}[what]
+def requests_in_flight(context: Context, what: str) -> None:
+    other = {"of a later release": UNKNOWN_MESSAGE, "cut short": encode(ANSWER)[:4]}[what]
     context.replica.body_of = lambda group: other if group == OTHER else None
     context.replies = {}
     for group in GROUPS:
@@ -351,7 +357,7 @@
 @then("both requests are answered")
 def both_answered(context: Context) -> None:
     context.replica.answer_waiting()
-    _until(lambda: FIRST in context.replies and SECOND in context.replies)
+    _wait_until(lambda: FIRST in context.replies and SECOND in context.replies)
     assert context.replies[FIRST] == context.replies[SECOND] == ANSWER, context.replies
 
 
@@ -374,7 +380,7 @@
 
 @when("all answers are of a later release for {seconds:f} s")
 def all_later(context: Context, seconds: float) -> None:
-    context.replica.body_of = lambda group: LATER
+    context.replica.body_of = lambda group: UNKNOWN_MESSAGE
     context.answered = 0
     end = time.monotonic() + seconds
     while time.monotonic() < end:
@@ -390,7 +396,7 @@
 
 @then("all three end without an answer within {seconds:f} s")
 def all_end(context: Context, seconds: float) -> None:
-    _until(lambda: len(context.replies) == len(GROUPS), seconds)
+    _wait_until(lambda: len(context.replies) == len(GROUPS), seconds)
     assert set(context.replies.values()) == {None}, context.replies
 
 
--- a/features/steps/planned_soak_steps.py
+++ b/features/steps/planned_soak_steps.py
@@ -8,37 +8,40 @@
 from behave import given, then
 from behave.runner import Context
 
-from features.soak.planned.content import CHAT, USUAL_TIMEOUT_MS, Content
+from features.soak.planned.content import CHAT, DEFAULT_TIMEOUT_MS, Content
 from features.soak.planned.cuts import (
     CONFIGURATION_S,
     DEADLINE_S,
-    Asked,
+    AttemptStart,
     Timeouts,
-    Written,
+    WrittenTimeouts,
     find_cuts,
     timeouts_in_force,
 )
 from features.soak.planned.run import play_planned
 from features.soak.planned.work import ADDED, RESTARTED, SIGNALLED, STOPPED
-from features.soak.promises import LOSS_SLACK_S, Ended, Record, Sent
+from features.soak.promises import LOSS_SLACK_S, AttemptEnd, Record, SentRequest
 
 GATEWAY = "edge-0"
 KEPT_LOGS = Path(tempfile.gettempdir()) / "yarrowwall-soak"
 KINDS_OF_CHANGES = Content(random.Random()).changes.keys()
 #: When the attempt is sent, and the times of its route.
 SENT_AT = 100.0
-USUAL_S = USUAL_TIMEOUT_MS / 1000.0
-SHORTER_S = USUAL_S / 2.0
-ALWAYS_USUAL: Timeouts = [(0.0, {CHAT: USUAL_S})]
-RAISED: Timeouts = [(0.0, {CHAT: SHORTER_S}), (SENT_AT + 1.0, {CHAT: USUAL_S})]
-LOWERED: Timeouts = [(0.0, {CHAT: USUAL_S}), (SENT_AT + 1.0, {CHAT: SHORTER_S})]
+DEFAULT_S = DEFAULT_TIMEOUT_MS / 1000.0
+SHORTER_S = DEFAULT_S / 2.0
+ALWAYS_DEFAULT: Timeouts = [(0.0, {CHAT: DEFAULT_S})]
+RAISED: Timeouts = [(0.0, {CHAT: SHORTER_S}), (SENT_AT + 1.0, {CHAT: DEFAULT_S})]
+LOWERED: Timeouts = [(0.0, {CHAT: DEFAULT_S}), (SENT_AT + 1.0, {CHAT: SHORTER_S})]
 #: A longer time that was written before the shorter one was over.
-WRITTEN = [Written(1, 0.0, {CHAT: SHORTER_S}), Written(2, SENT_AT + 1.0, {CHAT: USUAL_S})]
+WRITTEN = [
+    WrittenTimeouts(1, 0.0, {CHAT: SHORTER_S}),
+    WrittenTimeouts(2, SENT_AT + 1.0, {CHAT: DEFAULT_S}),
+]
 NOT_IN_FORCE = timeouts_in_force(WRITTEN, {1: 1.0, 2: SENT_AT + SHORTER_S + 0.2})
-PASSED_OVER = timeouts_in_force([*WRITTEN, WRITTEN[0]._replace(version=3)], {1: 1.0, 3: SENT_AT})
+SKIPPED = timeouts_in_force([*WRITTEN, WRITTEN[0]._replace(version=3)], {1: 1.0, 3: SENT_AT})
 EARLY = WRITTEN[1]._replace(at=SENT_AT - CONFIGURATION_S)
 NEVER_IN_FORCE = timeouts_in_force([WRITTEN[0], EARLY], {1: 1.0})
-ALWAYS_SHORTER: Timeouts = [(0.0, {CHAT: USUAL_S}), (SENT_AT - 1.0, {CHAT: SHORTER_S})]
+ALWAYS_SHORTER: Timeouts = [(0.0, {CHAT: DEFAULT_S}), (SENT_AT - 1.0, {CHAT: SHORTER_S})]
 
 
 @then("{seconds:d} s of planned work at {gateways:d} gateways with seed {seed:d} cut nothing")
@@ -58,27 +61,27 @@
 
     def note(record: Record) -> None:
         if is_at_server:
-            record.reached("a")
-        record.sent("a", Sent(GATEWAY, SENT_AT))
-        record.ended("a", Ended(status, is_whole, b"", SENT_AT + lasted_s))
+            record.note_reached("a")
+        record.note_sent("a", SentRequest(GATEWAY, SENT_AT))
+        record.note_ended("a", AttemptEnd(status, is_whole, b"", SENT_AT + lasted_s))
 
     return note
 
 
 def held_and_dropped(record: Record) -> None:
-    record.read(["a"])
+    record.note_admitted(["a"])
     ended(2 * LOSS_SLACK_S, status=0, is_at_server=False)(record)
 
 
 def broken_off(record: Record) -> None:
-    record.broke_off("a")
+    record.note_broken_off("a")
     ended(1.0)(record)
 
 
 ENDS: dict[str, tuple[Timeouts, Callable[[Record], None]]] = {
-    "was cut within its stream": (ALWAYS_USUAL, ended(1.0)),
-    "was cut at its server without an answer": (ALWAYS_USUAL, ended(1.0, status=0)),
-    "was held and dropped": (ALWAYS_USUAL, held_and_dropped),
+    "was cut within its stream": (ALWAYS_DEFAULT, ended(1.0)),
+    "was cut at its server without an answer": (ALWAYS_DEFAULT, ended(1.0, status=0)),
+    "was held and dropped": (ALWAYS_DEFAULT, held_and_dropped),
     "was cut by a time that was raised meanwhile": (RAISED, ended(SHORTER_S + 0.1)),
     "was cut by a time that was lowered meanwhile": (LOWERED, ended(SHORTER_S + 0.1)),
     "was cut by a time that was to be raised before": (NEVER_IN_FORCE, ended(SHORTER_S + 0.1)),
@@ -87,16 +90,16 @@
         ended(SHORTER_S + 0.1),
     ),
     "was cut at a gateway that passed over the version with more": (
-        PASSED_OVER,
+        SKIPPED,
         ended(SHORTER_S + 0.1),
     ),
-    "was answered": (ALWAYS_USUAL, ended(1.0, is_whole=True)),
-    "was refused": (ALWAYS_USUAL, ended(1.0, status=503, is_whole=True, is_at_server=False)),
-    "was cut at its deadline": (ALWAYS_USUAL, ended(DEADLINE_S)),
+    "was answered": (ALWAYS_DEFAULT, ended(1.0, is_whole=True)),
+    "was refused": (ALWAYS_DEFAULT, ended(1.0, status=503, is_whole=True, is_at_server=False)),
+    "was cut at its deadline": (ALWAYS_DEFAULT, ended(DEADLINE_S)),
     "was cut at its route's time": (ALWAYS_SHORTER, ended(SHORTER_S)),
-    "was broken off by its server": (ALWAYS_USUAL, broken_off),
+    "was broken off by its server": (ALWAYS_DEFAULT, broken_off),
     "was sent over a connection that was just closed": (
-        ALWAYS_USUAL,
+        ALWAYS_DEFAULT,
         ended(0.1, status=0, is_at_server=False),
     ),
 }
@@ -105,11 +108,11 @@
 @given('a record of planned work with an attempt that "{ends}"')
 def record_of_planned_work(context: Context, ends: str) -> None:
     record = Record()
-    record.begin("a", b"body")
+    record.note_attempt("a", b"body")
     timeouts, note = ENDS[ends]
     note(record)
     context.cuts = find_cuts(
-        record.attempted(), lambda gateway: timeouts, {"a": Asked(CHAT, SENT_AT)}
+        record.finished_attempts(), lambda gateway: timeouts, {"a": AttemptStart(CHAT, SENT_AT)}
     )
 
 
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -13,8 +13,8 @@
 
 from features.soak.client import Client
 from features.soak.disks import Disks
-from features.soak.disruptions import CONTACT_S
-from features.soak.promises import LOSS_SLACK_S, Ended, Record, Sent
+from features.soak.disruptions import SETTLE_S
+from features.soak.promises import LOSS_SLACK_S, AttemptEnd, Record, SentRequest
 from features.soak.run import play
 from features.soak.turns import Program, Turn, send_turn
 from features.soak.world import LOOKUP, SoakWorld
@@ -39,14 +39,14 @@
 
 
 def answered(record: Record, events: int = 1) -> None:
-    record.arrived("a", b"body")
+    record.note_started("a", b"body")
     body = b"".join(event(number) for number in range(1, events + 1))
-    record.ended("a", Ended(200, True, body))
+    record.note_ended("a", AttemptEnd(200, True, body))
 
 
 def refused(record: Record, status: int) -> None:
-    record.arrived("a", b"body")
-    record.ended("a", Ended(status, True, b""))
+    record.note_started("a", b"body")
+    record.note_ended("a", AttemptEnd(status, True, b""))
 
 
 def cut(record: Record, status: int = 0, lasted_s: float = 0.1, after_s: float = 0.0) -> None:
@@ -56,42 +56,42 @@
     """
     with record.disruptions.planned(GATEWAY, after_s):
         sent_at = time.monotonic() + after_s
-        record.sent("a", Sent(GATEWAY, sent_at))
-        record.ended("a", Ended(status, False, b"", sent_at + lasted_s))
+        record.note_sent("a", SentRequest(GATEWAY, sent_at))
+        record.note_ended("a", AttemptEnd(status, False, b"", sent_at + lasted_s))
 
 
-def cut_while_held(record: Record) -> None:
-    record.read(["a"])
+def cut_while_queued(record: Record) -> None:
+    record.note_admitted(["a"])
     cut(record, lasted_s=2 * LOSS_SLACK_S)
 
 
 def cut_at_server(record: Record) -> None:
-    record.arrived("a", b"body")
+    record.note_started("a", b"body")
     cut(record)
 
 
-def cut_beside_fault(record: Record) -> None:
+def cut_during_fault(record: Record) -> None:
     with record.disruptions.unplanned("server cut"):
         cut_at_server(record)
 
 
 def cut_after_fault(record: Record, after_s: float) -> None:
     with record.disruptions.unplanned("server cut"):
-        record.arrived("a", b"body")
+        record.note_started("a", b"body")
     cut(record, after_s=after_s)
 
 
 def cut_by_server(record: Record) -> None:
-    record.broke_off("a")
+    record.note_broken_off("a")
     cut_at_server(record)
 
 
 def went_on(record: Record) -> None:
-    record.went_on("t", GATEWAY, ["a"])
+    record.note_continued("t", GATEWAY, ["a"])
 
 
 def went_on_and_reached(record: Record) -> None:
-    record.arrived("a", b"body")
+    record.note_started("a", b"body")
     went_on(record)
 
 
@@ -101,8 +101,8 @@
     def __init__(self, status: int) -> None:
         self._status = status
 
-    def send(self, *asked: object) -> Ended:
-        return Ended(self._status, True, b"")
+    def send(self, *asked: object) -> AttemptEnd:
+        return AttemptEnd(self._status, True, b"")
 
 
 def go_on(record: Record, status: int) -> None:
@@ -131,7 +131,7 @@
         gateway.server_close()
 
 
-def answer_surplus(call: QuietHandler) -> None:
+def answer_with_extra_response(call: QuietHandler) -> None:
     call.answer(200, b"record")
     if not hasattr(call.server, "has_answered"):
         call.server.has_answered = True
@@ -143,16 +143,16 @@
     call.close_connection = True
 
 
-BROKEN = {
+ATTEMPTS = {
     "was answered": answered,
     "ran twice": lambda record: [answered(record), answered(record)],
     "was refused and ran": lambda record: refused(record, 503),
     "was told that its budget is spent, ran": lambda record: refused(record, 402),
-    "ran with another body": lambda record: record.arrived("a", b"other"),
-    "nobody sent": lambda record: record.arrived("b", b"body"),
+    "ran with another body": lambda record: record.note_started("a", b"other"),
+    "nobody sent": lambda record: record.note_started("b", b"body"),
     "emitted more than the budget": lambda record: answered(record, events=8),
     "was at a server when a planned stop cut it": cut_at_server,
-    "was held when a planned stop cut it": cut_while_held,
+    "was held when a planned stop cut it": cut_while_queued,
     "was half answered when a planned stop cut it": lambda record: cut(record, 200),
     "goes on and reached no server": went_on,
     "goes on and got 404": lambda record: go_on(record, 404),
@@ -161,14 +161,14 @@
         record, lambda call: call.answer(200, b"record", {"X-Attempt-Id": "b"}), 1
     ),
     "was sent behind bytes that nobody waited for": lambda record: send_to(
-        record, answer_surplus, 2
+        record, answer_with_extra_response, 2
     ),
-    "was cut by a planned stop beside a fault": cut_beside_fault,
+    "was cut by a planned stop beside a fault": cut_during_fault,
     "was cut by a planned stop soon after a fault": lambda record: cut_after_fault(
-        record, CONTACT_S / 2.0
+        record, SETTLE_S / 2.0
     ),
     "was cut by a planned stop long after a fault": lambda record: cut_after_fault(
-        record, CONTACT_S * 2.0
+        record, SETTLE_S * 2.0
     ),
     "was broken off by its server in a planned stop": cut_by_server,
     "met a planned stop unread": cut,
@@ -180,9 +180,9 @@
 @given('a soak\'s record with an attempt that "{broken}"')
 def broken_record(context: Context, broken: str) -> None:
     context.record = Record()
-    context.record.begin_program("p", BUDGET)
-    context.record.begin("a", b"body", "p")
-    BROKEN[broken](context.record)
+    context.record.note_program("p", BUDGET)
+    context.record.note_attempt("a", b"body", "p")
+    ATTEMPTS[broken](context.record)
 
 
 @then('the record shows only "{promise}"')
@@ -226,7 +226,7 @@
     process = context.world.processes[GATEWAY]
     process.kill()
     process.wait()
-    context.world.look_at_ends()
+    context.world.check_all_running()
 
 
 @when("a gateway starts again and gets SIGHUP as soon as it listens")
@@ -237,7 +237,7 @@
     wait_until(lambda: listens(world.addresses[GATEWAY]["http"]), f"{GATEWAY} listens")
     world.kill(GATEWAY, signal.SIGHUP)
     wait_until(lambda: has_ended_or_started(world), f"{GATEWAY} has started")
-    world.look_at_ends()
+    world.check_all_running()
 
 
 def listens(address: str) -> bool:
--- a/features/support/processes.py
+++ b/features/support/processes.py
@@ -17,12 +17,12 @@
 
 ZONES = ("zone-a", "zone-b", "zone-c")
 MODEL = "assistant"
-PATIENCE_SECONDS = 60.0
+WAIT_SECONDS = 60.0
 
 
 def wait_until(condition: Callable[[], bool], what: str) -> None:
     """Wait for a condition; the bound only ends a hung test."""
-    deadline = time.monotonic() + PATIENCE_SECONDS
+    deadline = time.monotonic() + WAIT_SECONDS
     while not condition():
         assert time.monotonic() < deadline, f"gave up waiting: {what}"
         time.sleep(0.02)
@@ -33,34 +33,36 @@
 FIRST_PORT, LAST_PORT = 10_000, 32_000
 #: Environment variable with the place that this process should have among those that run
 #: scenarios at once, and how many ports each of them has.
-PLACE_VARIABLE = "YARROWWALL_TEST_PLACE"
-PORTS_PER_PLACE = 1_000
-_PLACES = (LAST_PORT - FIRST_PORT) // PORTS_PER_PLACE
+PORT_RANGE_VARIABLE = "YARROWWALL_TEST_PLACE"
+PORTS_PER_RANGE = 1_000
+_RANGE_COUNT = (LAST_PORT - FIRST_PORT) // PORTS_PER_RANGE
 
 
-def _take_place(first: int) -> int:
+def _acquire_port_range(first: int) -> int:
     """Return a place that no other process has, the first one from a given one on.
 
     It is kept by a locked file for as long as this process runs, so that runs of several
     checkouts beside each other share no port.
     """
-    for place in range(first, first + _PLACES):
-        lock = Path(tempfile.gettempdir()) / f"yarrowwall-test-place-{place % _PLACES}"
+    for port_range in range(first, first + _RANGE_COUNT):
+        lock = Path(tempfile.gettempdir()) / f"yarrowwall-test-place-{port_range % _RANGE_COUNT}"
         descriptor = os.open(lock, os.O_CREAT | os.O_RDWR, 0o666)
         try:
             fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
             os.close(descriptor)
         else:
-            return place % _PLACES
+            return port_range % _RANGE_COUNT
     raise AssertionError("all places for ports are taken")
 
 
 def _ports() -> Iterator[int]:
     """Return the ports of this process, again and again."""
-    place = _take_place(int(os.environ.get(PLACE_VARIABLE, os.getpid())) % _PLACES)
-    first = FIRST_PORT + place * PORTS_PER_PLACE
-    yield from itertools.cycle(range(first, first + PORTS_PER_PLACE))
+    port_range = _acquire_port_range(
+        int(os.environ.get(PORT_RANGE_VARIABLE, os.getpid())) % _RANGE_COUNT
+    )
+    first = FIRST_PORT + port_range * PORTS_PER_RANGE
+    yield from itertools.cycle(range(first, first + PORTS_PER_RANGE))
 
 
 _own_ports = _ports()
@@ -86,7 +88,7 @@
         self._folder = tempfile.TemporaryDirectory()
         self.folder = Path(self._folder.name)
         self.processes: dict[str, subprocess.Popen] = {}
-        self.pool = urllib3.PoolManager(retries=False, timeout=PATIENCE_SECONDS)
+        self.pool = urllib3.PoolManager(retries=False, timeout=WAIT_SECONDS)
         self.engine_addresses = [
             self._start_standin(f"engine-{number}", "engine", "--speed", str(engine_speed))
             for number in range(engines)
