--- a/features/soak/__init__.py
+++ b/features/soak/__init__.py
@@ -1,6 +1,6 @@
-"""A randomized soak: real processes, loopback proxies, signals, bad clocks and storage.
+"""Randomized soak test: real processes, loopback proxies, signals, clock offsets, disk losses.
 
-``python -m features.soak --seed 7 --seconds 20`` plays one seed and ends with exit code 1
-if a promise was broken, naming the seed; ``--seeds 1-20`` plays many. The promises are
-checked from outside only, by what clients got and what servers received.
+``python -m features.soak --seed 7 --seconds 20`` runs one seed and exits with code 1 if
+a guarantee was violated; ``--seeds 1-20`` runs several seeds. The guarantees are checked from
+outside only: by the responses of clients and the requests that servers received.
 """
--- a/features/soak/__main__.py
+++ b/features/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Plays seeds of the soak."""
+"""Command line of the soak test."""
 
 import json
 import sys
@@ -12,15 +12,21 @@
 
 
 @click.command()
-@click.option("--seed", type=int, help="One seed.")
-@click.option("--seeds", help="Many, as FIRST-LAST.")
-@click.option("--seconds", "seconds_s", default=20.0, show_default=True, help="Time of faults.")
+@click.option("--seed", type=int, help="A single seed.")
+@click.option("--seeds", help="A range of seeds, as FIRST-LAST.")
+@click.option(
+    "--seconds", "seconds_s", default=20.0, show_default=True, help="Duration of the faults."
+)
 @click.option("--clients", default=6, show_default=True)
 @click.option("--gateways", default=2, show_default=True)
 @click.option("--replicas", default=3, show_default=True)
-@click.option("--strands", default=STRANDS, show_default=True, help="Faults at once.")
-@click.option("--planned", "is_planned", is_flag=True, help="Planned work alone, in three zones.")
-@click.option("--keep", type=click.Path(path_type=Path), help="Folder for logs of failed seeds.")
+@click.option("--strands", default=STRANDS, show_default=True, help="Concurrent faults.")
+@click.option(
+    "--planned", "is_planned", is_flag=True, help="Planned operations only, in three zones."
+)
+@click.option(
+    "--keep", type=click.Path(path_type=Path), help="Folder for the logs of failed seeds."
+)
 def main(
     seed: int | None,
     seeds: str | None,
@@ -32,9 +38,10 @@
     is_planned: bool,
     keep: Path | None,
 ) -> None:
-    """Play seeds; exit 1 if one of them broke a promise.
+    """Run seeds; exit with 1 if one of them violated a guarantee.
 
-    Planned work alone has storage machines of its own number, and a strand for each kind of work.
+    ``--planned`` ignores ``--replicas`` and ``--strands``: it has a fixed number of storage
+    machines, and at least one worker per kind of operation.
     """
     first, _, last = (seeds or str(1 if seed is None else seed)).partition("-")
     failed = 0
--- a/features/soak/client.py
+++ b/features/soak/client.py
@@ -1,4 +1,4 @@
-"""A client of the gateways, which keeps its connections open."""
+"""HTTP client of the gateways with persistent connections."""
 
 import http.client
 import select
@@ -10,14 +10,14 @@
 from features.support.platform_world import HOST
 
 _TIMEOUT_S = 5.0
-#: Pause behind a connection that ended without an answer.
+#: Pause after a connection that ended without a response.
 _RECONNECT_PAUSE_S = 0.05
 
 
 class Client:
-    """Sends one attempt at a time, over a connection kept to each gateway; a context manager.
+    """Sends one attempt at a time over a persistent connection per gateway; a context manager.
 
-    A connection is kept until the gateway ends it or asks for its end.
+    A connection is reused until the gateway closes it or sends ``Connection: close``.
     """
 
     def __init__(self, world: SoakWorld, record: Record) -> None:
@@ -68,7 +68,7 @@
         return conn
 
     def _check_idle(self, gateway: str, conn: http.client.HTTPConnection) -> None:
-        """Close a connection that its gateway has ended; nothing else may have come on it."""
+        """Close a connection that its gateway has ended; received bytes are a violation."""
         arrivals = select.poll()
         arrivals.register(conn.sock, select.POLLIN)
         if not arrivals.poll(0):
@@ -97,7 +97,7 @@
             return AttemptEnd(response.status, False, bytes(body), time.monotonic())
         is_whole = response.length in (None, 0)
         if is_whole and conn.sock is not None and not response.isclosed():
-            # What came in one piece with the answer is in the response's buffer, not at the socket.
+            # Bytes received together with the response are in its buffer, not in the socket.
             conn.sock.setblocking(False)
             unexpected = response.fp.peek()
             conn.sock.settimeout(_TIMEOUT_S)
--- a/features/soak/continuations.py
+++ b/features/soak/continuations.py
@@ -1,4 +1,4 @@
-"""Programs that come behind a final fault and go on from turns of before."""
+"""Programs that continue earlier turns after a final fault."""
 
 import random
 import threading
@@ -12,21 +12,23 @@
 from features.soak.workload import FINISH_S
 from features.soak.world import RETAIN_S, SoakWorld
 
-#: Seconds behind a final fault within which every gateway serves again.
+#: Seconds after a final fault within which every gateway must serve again.
 RECOVER_S = 12.0
-#: Seconds that a turn must be kept yet when the machines are back, to outlast the last try.
+#: Retention in seconds that a turn must have left when the machines are killed, so that it
+#: outlasts the last try.
 _MIN_RETENTION_LEFT_S = RECOVER_S + 5.0
 _PROGRAMS_PER_GATEWAY = 4
 _BUDGET = 1000
-#: Tokens of a prompt with its history, many times those of a program without one.
+#: Unshared prompt tokens, including the history: many times those of a program without one.
 _OWN_TOKENS = 20_000
 
 
 class ContinuationResult(NamedTuple):
-    """How programs fared that went on.
+    """Result of the programs that continued earlier turns.
 
-    :param longest_s: until a server got the last of them, from when the machines were back.
-    :param most_tries: attempts of one program until then.
+    :param longest_s: seconds from the restart of the machines until a server had got a request
+        of every program.
+    :param most_tries: largest number of attempts that a program needed for this.
     """
 
     programs: int
@@ -35,9 +37,9 @@
 
 
 class Continuations:
-    """Programs at every gateway, each going on from an answered turn of another program.
+    """Programs at every gateway, each of which continues an answered turn of another program.
 
-    :param back_at: when the machines were back, on the monotonic clock.
+    :param back_at: time at which the machines were restarted, on the monotonic clock.
     """
 
     def __init__(self, world: SoakWorld, record: Record, back_at: float) -> None:
@@ -46,9 +48,9 @@
         self._back_at = back_at
 
     def play(self, name: str, turns: list[Turn], rng: random.Random) -> ContinuationResult:
-        """Let programs go on until servers got all of them or the recovery is over.
+        """Run programs until servers got a request of each or ``RECOVER_S`` is over.
 
-        :param turns: answered ones, the latest last.
+        :param turns: answered turns, the latest last.
         """
         chosen = [
             (gateway, f"{name}-{gateway}-{number}", turn)
@@ -64,7 +66,7 @@
         )
 
     def _continue_turn(self, gateway: str, name: str, turn: Turn) -> tuple[float, int]:
-        """Ask with a program's first turn until a server gets it; return seconds and tries."""
+        """Retry a program's first turn until a server gets it; return seconds and tries."""
         rng = random.Random(name)
         program = Program(name, _BUDGET, time.monotonic() + FINISH_S, _OWN_TOKENS)
         self._record.note_program(name, _BUDGET)
@@ -81,12 +83,12 @@
 
 
 def continuable_since(now: float) -> float:
-    """Return from when on turns are kept for as long as programs may go on from them."""
+    """Return the earliest answer time of turns that are retained until all tries are over."""
     return now - RETAIN_S + _MIN_RETENTION_LEFT_S
 
 
 def _choose(turns: list[Turn], rng: random.Random) -> list[Turn]:
-    """Return the latest turns, which were the last to be stored, and as many of the others."""
+    """Return the latest turns, which were stored last, and as many random others."""
     latest = turns[-_PROGRAMS_PER_GATEWAY // 2 :]
     others = turns[: -_PROGRAMS_PER_GATEWAY // 2]
     return latest + rng.sample(others, min(len(others), _PROGRAMS_PER_GATEWAY - len(latest)))
--- a/features/soak/disks.py
+++ b/features/soak/disks.py
@@ -1,4 +1,4 @@
-"""Disks that are lost, one at a time, and copied anew."""
+"""Loss of disks, one at a time, and the wait until their data is copied again."""
 
 import shutil
 import socket
@@ -13,19 +13,19 @@
 from yarrowwall.messages.exceptions import MessageError
 from yarrowwall.messages.replicated import AskStatus, StatusReply
 
-#: Seconds that a wiped replica has to be in its group again.
+#: Seconds within which the group of a wiped replica must be complete again.
 REJOIN_S = 25.0
 _POLL_S = 0.1
 _ANSWER_S = 1.0
-#: Length and number of a message between machines, before it.
+#: Header of a message between machines: its length and number.
 _HEADER = struct.Struct(">II")
 
 
 class DiskLoss(NamedTuple):
-    """A disk that was lost.
+    """A lost disk.
 
-    :param disks: by which the replica's groups knew it; none if it was of no group.
-    :param members: of all groups before.
+    :param disks: its ids in the views of the groups; empty if it was in no group.
+    :param members: number of members of all groups before the loss.
     """
 
     name: str
@@ -36,8 +36,9 @@
 class Disks:
     """The replicas' disks.
 
-    :param rejoin_s: seconds that a wiped replica has to be in its group again.
-    :ivar lock: held from the loss of a disk until it is copied: the next loss waits for that.
+    :param rejoin_s: seconds within which the group of a wiped replica must be complete again.
+    :ivar lock: held from the loss of a disk until its data is copied, so that only one disk is
+        lost at a time.
     """
 
     def __init__(
@@ -49,7 +50,7 @@
         self.lock = threading.Lock()
 
     def lose(self, name: str) -> DiskLoss:
-        """Lose the disk of a replica that is down."""
+        """Delete the data of a replica that is down."""
         views = self._views()
         known = [member for view in views for member in [*view["members"], *view["joining"]]]
         disks = {member["disk_id"] for member in known if member["node_id"] == name}
@@ -58,20 +59,22 @@
         return DiskLoss(name, disks, members)
 
     def wait_copied(self, loss: DiskLoss, fault: int) -> None:
-        """Wait until other disks are in the place of a lost one; raise AssertionError if not.
+        """Wait until other disks replace a lost one; raise AssertionError after ``rejoin_s``.
 
-        :param fault: number of the loss; the time counts while no other fault goes on.
+        :param fault: number of the loss; the time starts again while another fault lasts.
         """
         end = time.monotonic() + self._rejoin_s
         while loss.disks and not self._is_copied(loss):
             if self._disruptions.has_other_fault(fault):
                 end = time.monotonic() + self._rejoin_s
             if time.monotonic() > end:
-                raise AssertionError(f"{loss.name} was wiped and its group is not whole again")
+                raise AssertionError(
+                    f"the group of {loss.name} is not complete again after its disk was wiped"
+                )
             time.sleep(_POLL_S)
 
     def _is_copied(self, loss: DiskLoss) -> bool:
-        """Return whether every group is whole without the disk, and all members have copied."""
+        """Return whether every group is complete without the disk and all members have copied."""
         views = self._views()
         members = [(view["group"], member) for view in views for member in view["members"]]
         is_settled = not any(view["joining"] for view in views)
@@ -85,7 +88,7 @@
 
 
 def _has_copied(group: int, member: dict[str, Any]) -> bool:
-    """Return whether a member of a group says that it holds all that is complete."""
+    """Return whether a member of a group reports that it counts for read quorums."""
     host, _, port = member["address"].partition(":")
     body = encode(AskStatus(group))
     try:
--- a/features/soak/disruptions.py
+++ b/features/soak/disruptions.py
@@ -1,4 +1,4 @@
-"""When what was disrupted: unplanned faults, and planned work on gateways."""
+"""Times of unplanned faults and of planned operations on gateways."""
 
 import math
 import threading
@@ -7,15 +7,15 @@
 from contextlib import contextmanager
 from typing import NamedTuple
 
-#: Seconds for which a machine has to be undisturbed to count as in touch.
+#: Seconds without a fault after which machines count as connected again.
 SETTLE_S = 3.0
 
 
 class Span(NamedTuple):
-    """A time of the monotonic clock.
+    """A period on the monotonic clock.
 
-    :param what: the kind of an unplanned fault, or the gateway that planned work is on.
-    :param end: infinite as long as it goes on.
+    :param subject: kind of an unplanned fault, or gateway of a planned operation.
+    :param end: infinite while it lasts.
     """
 
     subject: str
@@ -23,12 +23,12 @@
     end: float
 
     def overlaps(self, begin: float, end: float) -> bool:
-        """Return whether this and another time have a moment in common."""
+        """Return whether this period overlaps another one."""
         return self.begin <= end and begin <= self.end
 
 
 class Disruptions:
-    """Collects what was disrupted when; thread-safe."""
+    """Collects the times of disruptions; thread-safe."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
@@ -38,13 +38,13 @@
 
     @contextmanager
     def unplanned(self, kind: str) -> Iterator[int]:
-        """Note a fault until the context is left; its number is given."""
+        """Record a fault for the duration of the context; yield its number."""
         with self._noted_span(self._unplanned, kind) as number:
             yield number
 
     @contextmanager
     def planned(self, gateway: str, tail_s: float = 0.0) -> Iterator[int]:
-        """Note planned work on a gateway until some time after the context is left."""
+        """Record a planned operation on a gateway, up to some seconds after the context."""
         with self._noted_span(self._planned, gateway, tail_s) as number:
             yield number
 
@@ -63,16 +63,16 @@
                 spans[number] = spans[number]._replace(end=time.monotonic() + tail_s)
 
     def has_other_fault(self, number: int) -> bool:
-        """Return whether a fault goes on other than a given one."""
+        """Return whether a fault other than the given one is in progress."""
         with self._lock:
             return any(
                 span.end == math.inf for key, span in self._unplanned.items() if key != number
             )
 
     def has_only_planned_work(self, gateway: str, begin: float, end: float) -> bool:
-        """Return whether in a time there was planned work on a gateway and nothing unplanned.
+        """Return whether a period had planned operations on a gateway and no unplanned fault.
 
-        Nothing unplanned was to be there in the ``SETTLE_S`` before it either.
+        An unplanned fault in the ``SETTLE_S`` before the period counts as well.
         """
         with self._lock:
             return any(
--- a/features/soak/fault_workers.py
+++ b/features/soak/fault_workers.py
@@ -1,4 +1,4 @@
-"""Several strands of faults at once, each one fault at a time."""
+"""Workers that inject faults concurrently, each one fault at a time."""
 
 import random
 import time
@@ -13,11 +13,11 @@
 
 
 class FaultWorkers:
-    """Strike again and again, and heal what they did.
+    """Inject faults repeatedly; each fault is healed by its injector.
 
-    :param seed: fixes the kinds and their order in each strand.
-    :param count: how many faults there are at most at once.
-    :ivar struck: how often each kind struck.
+    :param seed: determines the kinds and their order in each worker.
+    :param count: number of workers, and so of concurrent faults.
+    :ivar struck: number of injected faults by kind.
     """
 
     def __init__(
@@ -32,11 +32,11 @@
         self.injected: Counter[str] = Counter()
 
     def do_planned_work_until(self, end: float) -> None:
-        """Do planned work alone until a moment of the monotonic clock."""
+        """Inject planned operations only until a time of the monotonic clock."""
         self._run(sorted(self._injectors[0].planned), end)
 
     def inject_until(self, end: float) -> None:
-        """Strike with all kinds until a moment of the monotonic clock; all is healed then."""
+        """Inject faults of all kinds until a time of the monotonic clock; return once healed."""
         self._run(sorted({**self._injectors[0].planned, **self._injectors[0].unplanned}), end)
 
     def _run(self, names: list[str], end: float) -> None:
--- a/features/soak/faults.py
+++ b/features/soak/faults.py
@@ -1,4 +1,4 @@
-"""Random faults: signals, cuts, a store that misbehaves, disks lost and torn."""
+"""Random faults: signals, network faults, store faults, lost disks and torn logs."""
 
 import random
 import signal
@@ -15,13 +15,14 @@
 from features.soak.world import SoakWorld
 from features.support.platform_world import Server
 
-#: Seconds that a gateway has to end behind SIGTERM.
+#: Seconds that a gateway has to exit after SIGTERM.
 _STOP_S = 10.0
-#: Seconds behind SIGHUP for which requests may still suffer from it, the configuration's bound.
+#: Seconds after SIGHUP in which requests may still be affected: the time limit within which a
+#: configuration is applied.
 _RELOAD_S = 3.0
-#: The most signals or configurations in a row.
+#: Upper bound (exclusive) of signals or configurations in a row.
 _MAX_REPEATS = 6
-#: The most gateways that are stopped in turn.
+#: Maximum number of gateways that are stopped one after the other.
 _MAX_GATEWAYS_IN_TURN = 4
 _REPLICA_WIPED = "replica wiped"
 _SLOW_CALLERS = 20
@@ -29,7 +30,7 @@
     b"POST /records/x HTTP/1.1\r\nHost: desk.example\r\nX-Attempt-Id: slow-%d\r\n"
     b"X-Deadline-Ms: 3000\r\nContent-Length: 60000\r\n\r\n"
 )
-#: What another writer puts in place of an entry.
+#: Invalid entries that another writer puts into the store.
 _INVALID_ENTRIES: tuple[Any, ...] = (
     None,
     "no entry",
@@ -41,11 +42,11 @@
 
 
 class FaultInjector:
-    """The kinds of faults; each heals what it did. Several strands may have one each.
+    """Injects faults and heals them; each fault worker has its own injector.
 
-    :param rng: fixes their length and, by what is free, what they strike.
-    :ivar planned: what operators do, by name.
-    :ivar unplanned: all else, by name.
+    :param rng: determines their duration and, among the unlocked ones, their targets.
+    :ivar planned: operations of operators, by name.
+    :ivar unplanned: all other faults, by name.
     """
 
     def __init__(
@@ -94,11 +95,11 @@
         }
 
     def inject(self, name: str) -> None:
-        """Strike with one kind."""
+        """Inject one fault of a kind and heal it."""
         if name in self.planned:
             self.planned[name]()
         elif name == _REPLICA_WIPED:
-            # It waits for the disk lost before, and is a fault only from then on.
+            # It waits until the disk lost before is copied, and counts as a fault only from then on.
             self._wipe_disk()
         else:
             with self._disruptions.unplanned(name):
@@ -107,7 +108,7 @@
     def _pause(self, max_s: float = 1.5) -> None:
         time.sleep(self._rng.uniform(0.1, max_s))
 
-    # Planned work
+    # Planned operations
 
     def _stop_gateway(self) -> None:
         with self._resource_locks.lock_any(self._world.gateways, self._rng) as name:
@@ -115,7 +116,7 @@
                 self._stop(name)
 
     def _stop_gateways_in_turn(self) -> None:
-        """Stop one gateway behind the other; signals and changes may come meanwhile."""
+        """Stop gateways one after the other; signals and changes may occur in the meantime."""
         count = min(_MAX_GATEWAYS_IN_TURN, len(self._world.gateways))
         for gateway in self._rng.sample(self._world.gateways, count):
             with self._resource_locks.lock_any([gateway], self._rng) as name:
@@ -128,7 +129,7 @@
             try:
                 process.wait(timeout=_STOP_S)
             except subprocess.TimeoutExpired:
-                self._record.note_violation(f"DRAIN: {name} runs on {_STOP_S} s after SIGTERM")
+                self._record.note_violation(f"DRAIN: {name} still runs {_STOP_S} s after SIGTERM")
                 self._world.kill(name)
             self._world.restart(name)
 
@@ -139,7 +140,7 @@
         self._signal(self._rng.choice(self._world.gateways), self._rng.randrange(2, _MAX_REPEATS))
 
     def _signal(self, name: str, count: int) -> None:
-        """Signal a gateway that has started, whatever else is done to it meanwhile."""
+        """Signal a gateway whenever it has started; it isn't locked against other faults."""
         with self._disruptions.planned(name, _RELOAD_S):
             for _ in range(count):
                 process = self._world.processes[name]
@@ -163,7 +164,7 @@
             self._world.restart(name)
 
     def _tear_log(self) -> None:
-        """Leave half a frame behind the log, as a loss of power does."""
+        """Append a torn frame to the log, as a power failure does."""
         with self._resource_locks.lock_any(self._world.replicas, self._rng) as name:
             if name is None:
                 return
@@ -201,7 +202,7 @@
             self._pause(3.0)
             self._world.kill(name, signal.SIGCONT)
 
-    # What stands between
+    # Network and store
 
     def _stop_store(self) -> None:
         self._world.store.is_down = True
@@ -226,7 +227,7 @@
         return self._world.servers[server_id], self._world.service_of[server_id]
 
     def _restart_server(self) -> None:
-        """Let a server start again at once under its id; connections to it end."""
+        """Restart a server immediately under its id; connections to it are reset."""
         with self._resource_locks.lock_any(sorted(self._world.servers), self._rng) as server_id:
             if server_id is None:
                 return
@@ -237,7 +238,7 @@
             self._world.list_restarted(*self._service_of(server_id), int(time.time() * 1000))
 
     def _list_old_incarnation(self) -> None:
-        """Tell of an earlier incarnation of a server, as a list that is old does."""
+        """List an earlier incarnation of a server for a while, as an outdated list does."""
         with self._resource_locks.lock_any(sorted(self._world.servers), self._rng) as server_id:
             if server_id is None:
                 return
@@ -249,7 +250,7 @@
             self._world.list_restarted(server, service, newest)
 
     def _write_invalid_entries(self) -> None:
-        """Let another writer spoil entries, one of them a server's own for a while."""
+        """Write invalid entries, one of them for a while in place of a server's own entry."""
         store = self._world.store
         with self._resource_locks.lock_any(sorted(self._world.servers), self._rng) as server_id:
             if server_id is None:
@@ -263,7 +264,7 @@
                 store.remove("servers", f"x-{number}")
 
     def _send_slow_bodies(self) -> None:
-        """Let callers begin bodies that they do not end."""
+        """Open requests whose bodies are never completed."""
         host, _, port = self._world.addresses[self._rng.choice(self._world.gateways)][
             "http"
         ].partition(":")
@@ -274,7 +275,7 @@
                 caller.sendall(_SLOW_HEAD % number + b"x" * 1_000)
                 callers.append(caller)
             except OSError:
-                # The gateway may just be down.
+                # The gateway may be down.
                 continue
         self._pause()
         for caller in callers:
--- a/features/soak/final.py
+++ b/features/soak/final.py
@@ -1,4 +1,4 @@
-"""Final faults: all machines at once, one disk perhaps, and what must be there behind them."""
+"""Final faults: all machines are killed at once, in one kind also a disk is lost."""
 
 import random
 import time
@@ -12,9 +12,9 @@
 from features.soak.turns import AnsweredTurns, Turn
 from features.soak.world import SoakWorld
 
-#: Seconds for which machines are down at most.
+#: Maximum downtime of the machines in seconds.
 _DOWN_S = 0.6
-#: Seconds that new programs have to fill the servers before others go on.
+#: Seconds that new programs have to fill the servers before others continue earlier turns.
 _FILL_S = 4.0
 
 
@@ -22,14 +22,14 @@
     """The kinds of final faults."""
 
     ALL_KILLED = "all machines killed"
-    #: The disk of one is lost meanwhile.
+    #: The disk of one replica is lost while the machines are down.
     ONE_DISK_LOST = "all machines killed, one disk lost"
 
 
 class FinalFaultResult(NamedTuple):
-    """What followed a final fault.
+    """Result of a final fault.
 
-    :param most_taken: of the servers' places, by new programs that pressed for them.
+    :param most_taken: largest number of slots that new programs occupied; 0 without them.
     """
 
     kind: FinalFault
@@ -38,9 +38,9 @@
 
 
 class FinalFaultInjector:
-    """Strike all machines at once and let programs go on from turns of before.
+    """Kill all machines at once and let programs continue turns answered before.
 
-    :param answered: the turns that were answered, from which they go on.
+    :param answered: answered turns that programs may continue.
     """
 
     def __init__(
@@ -58,9 +58,9 @@
         self._rng = random.Random(f"{seed}/final")
 
     def inject(self, kind: FinalFault, is_loaded: bool) -> FinalFaultResult:
-        """Strike, and let programs go on at every gateway until servers got them.
+        """Inject the fault, and let programs continue at every gateway until servers get them.
 
-        :param is_loaded: whether new programs press for the servers' places meanwhile.
+        :param is_loaded: whether new programs fill the servers' slots in the meantime.
         """
         with self._record.disruptions.unplanned(kind) as fault:
             self._world.publish()
--- a/features/soak/planned/__init__.py
+++ b/features/soak/planned/__init__.py
@@ -1,1 +1,1 @@
-"""Planned work alone, beside streams under way: nothing may be cut."""
+"""Soak test of planned operations only, which must not cut any request."""
--- a/features/soak/planned/clients.py
+++ b/features/soak/planned/clients.py
@@ -1,4 +1,4 @@
-"""Clients of many gateways: conversations, streams and lookups over connections that they keep."""
+"""Clients with persistent connections to several gateways: programs, streams and lookups."""
 
 import http.client
 import random
@@ -14,18 +14,18 @@
 from features.soak.turns import NO_TURN, Program, send_turn
 from features.support.platform_world import event
 
-#: Seconds in which a program should be over.
+#: Seconds within which a program should finish.
 FINISH_S = 12.0
-#: Gateways that one client uses.
+#: Number of gateways that one client uses.
 _GATEWAYS_PER_CLIENT = 4
 _SHARES = {"program": 0.6, "stream": 0.2, "lookup": 0.15, "spare lookup": 0.05}
 
 
 class KeyedClient(Client):
-    """A client with a tenant's key.
+    """A client that uses a tenant's API key.
 
-    :param turns_route: to which turns go.
-    :param asked: takes in each attempt.
+    :param turns_route: route to which turns are sent.
+    :param asked: receives the route and start time of each attempt, by its id.
     """
 
     def __init__(
@@ -52,10 +52,10 @@
 
 
 class Clients(ThreadGroup):
-    """Clients in threads, until it is left.
+    """Runs clients in threads while the context is active.
 
-    :param seed: fixes what each client does, not when.
-    :ivar asked: all attempts.
+    :param seed: determines the requests of each client, but not their times.
+    :ivar asked: route and start time of all attempts, by their ids.
     """
 
     def __init__(self, world: PlannedWorld, record: Record, seed: int, clients: int) -> None:
@@ -72,7 +72,7 @@
         try:
             self._ask(rng, number)
         except Exception as error:
-            # Without its requests the run would show less than it claims.
+            # A run without this client's requests would test less than it reports.
             self._record.note_violation(f"HARNESS: client {number} ended: {error!r}")
 
     def _ask(self, rng: random.Random, number: int) -> None:
--- a/features/soak/planned/content.py
+++ b/features/soak/planned/content.py
@@ -1,4 +1,4 @@
-"""The content of a configuration, and seeded changes of it."""
+"""Contents of the configuration, and seeded changes of them."""
 
 import random
 from collections.abc import Callable
@@ -11,13 +11,13 @@
 STREAMS = (CHAT, TALK, FLOW)
 #: Services that run streams; routes move between them.
 ENGINES = ("engines-a", "engines-b")
-#: Keys that clients hold in every version.
+#: API keys of the clients, valid in every version.
 CLIENT_KEYS = ("key-of-one", "key-of-two", "key-of-three")
-#: Routes that come and go at once.
+#: Number of routes that are added and removed together.
 MANY_ROUTES = 1_400
 DEFAULT_TIMEOUT_MS = 4_000
 TIMEOUTS_MS = (2_000, 3_000, 3_800, 4_000, 4_200, 5_000, 8_000)
-#: The most of the services and of the tenants that come and go one by one.
+#: Maximum number each of routes, services and tenants that are added and removed one by one.
 _MAX_SPARE = 6
 _ENGINE = {"slots": 16, "kv_capacity": 500_000, "chunk_tokens": 10}
 
@@ -42,9 +42,9 @@
 
 
 class Content:
-    """What the operators want, which they change piece by piece.
+    """The operators' configuration, which is changed step by step.
 
-    :param rng: fixes what each change makes of it.
+    :param rng: determines the values of each change.
     :ivar changes: the kinds of changes, by name.
     """
 
@@ -97,7 +97,7 @@
 
     @property
     def spec(self) -> dict[str, Any]:
-        """Return the configuration but for its version."""
+        """Return the configuration without its version."""
         services = [*ENGINES, LOOKUP, *self._spare_services]
         return {
             "routes": [dict(one) for one in self._routes],
@@ -110,13 +110,13 @@
 
     @property
     def timeouts_s(self) -> dict[str, float]:
-        """Return the longest time of each route that clients use always."""
+        """Return the timeout of each route that exists in every version."""
         kept = [*self._stream_routes, self._lookups]
         return {one["name"]: one["timeout_ms"] / 1000.0 for one in kept}
 
     @property
     def spare_routes(self) -> list[str]:
-        """Return the names of routes that come and go one by one."""
+        """Return the names of the routes that are added and removed one by one."""
         return [one["name"] for one in list(self._spare_routes)]
 
     @property
--- a/features/soak/planned/cuts.py
+++ b/features/soak/planned/cuts.py
@@ -1,22 +1,22 @@
-"""Which requests were cut although nothing but planned work was done."""
+"""Detection of requests that were cut while only planned operations took place."""
 
 from collections.abc import Callable, Iterable, Mapping, Sequence
 from typing import NamedTuple
 
 from features.soak.promises import FinishedAttempt
 
-#: Seconds that each attempt has.
+#: Deadline of each attempt in seconds.
 DEADLINE_S = 4.0
-#: Seconds in which a configuration has to be in force everywhere.
+#: Seconds within which a configuration must be in force at every gateway.
 CONFIGURATION_S = 3.0
-#: The routes' times in seconds, by the moment of the monotonic clock from which on they count.
+#: Timeouts of routes in seconds, each with the time on the monotonic clock since when they apply.
 Timeouts = list[tuple[float, dict[str, float]]]
 
 
 class WrittenTimeouts(NamedTuple):
-    """The routes' times as they were written.
+    """The timeouts of the routes in a version of the configuration.
 
-    :param at: when, on the monotonic clock.
+    :param at: time of the write on the monotonic clock.
     """
 
     version: int
@@ -25,9 +25,9 @@
 
 
 class AttemptStart(NamedTuple):
-    """An attempt.
+    """Route and start time of an attempt.
 
-    :param at: moment of the monotonic clock before anything of it was sent.
+    :param at: time on the monotonic clock before its first byte was sent.
     """
 
     route: str
@@ -35,10 +35,10 @@
 
 
 class Cut(NamedTuple):
-    """A request that ended without a whole answer.
+    """A request that ended early without a complete response.
 
-    :param lasted_s: since it was sent.
-    :param time_s: the least that it had.
+    :param lasted_s: seconds from its start to its end.
+    :param time_s: seconds before which it must not be ended.
     """
 
     attempt: str
@@ -51,7 +51,7 @@
 
     @property
     def text(self) -> str:
-        """Return what broke the promise."""
+        """Return the text of the violation."""
         return (
             f"LOST: {self.attempt} on {self.route} was cut at {self.gateway} after"
             f" {self.lasted_s:.3f} of {self.time_s:.3f} s, status {self.status}"
@@ -63,9 +63,9 @@
     timeouts_at: Callable[[str], Timeouts],
     starts: dict[str, AttemptStart],
 ) -> list[Cut]:
-    """Return the requests that were cut before their time was over.
+    """Return the requests that were cut before their timeout or deadline.
 
-    :param timeouts_at: returns the routes' times as they count at a gateway.
+    :param timeouts_at: returns the timeouts in force at a gateway.
     """
     found = []
     for finished_attempt in attempts:
@@ -90,12 +90,12 @@
 def timeouts_in_force(
     written: Sequence[WrittenTimeouts], in_force: Mapping[int, float]
 ) -> Timeouts:
-    """Return the routes' times by when they count at a gateway.
+    """Return the timeouts of routes by when they apply at a gateway.
 
-    They do once it has put them in force, and ``CONFIGURATION_S`` after they were written at the
-    latest, unless it has gone on to a later version by then.
+    They apply once the gateway has put their version in force, at the latest ``CONFIGURATION_S``
+    after the write, unless the gateway has put a later version in force by then.
 
-    :param in_force: when it put versions in force, on the monotonic clock.
+    :param in_force: time on the monotonic clock at which it put each version in force.
     """
     found = []
     for version, at, times_s in written:
@@ -109,7 +109,7 @@
 
 
 def longest_timeout_s(timeouts: Timeouts, route: str, begin: float, end: float) -> float:
-    """Return the longest time of a route that was in force in a span; endless for other routes."""
+    """Return the longest timeout of a route in a period; infinity for unknown routes."""
     longest, previous = 0.0, 0.0
     for at, times_s in timeouts:
         time_s = times_s.get(route, float("inf"))
--- a/features/soak/planned/run.py
+++ b/features/soak/planned/run.py
@@ -1,4 +1,4 @@
-"""One seed of planned work alone, from the start of the machines to the verdict."""
+"""Run one seed of planned operations, from the start of the machines to the result."""
 
 import re
 import time
@@ -14,10 +14,10 @@
 from features.soak.promises import Record
 from features.soak.thread_delay import ThreadDelay
 
-#: Seconds before the work begins and for what is under way when it ends.
+#: Seconds of load before the operations begin, and for requests in flight when they end.
 _CALM_S = 2.0
 _FINISH_S = 1.0
-#: Lines that tell what became of requests.
+#: Kinds of log lines about the results of requests.
 _KINDS = (
     "AttemptAdmitted",
     "AttemptRefused",
@@ -32,16 +32,17 @@
 
 
 class PlannedResult(NamedTuple):
-    """What a seed showed.
-
-    :param served: attempts that were answered whole.
-    :param outcomes: attempts by status; 0 is a connection that ended without an answer.
-    :param refused: refusals by status and reason, without their figures.
-    :param broken_off: answers that gateways broke off, by reason, without figures.
-    :param cuts: requests that were cut, each with what its gateway logged of it.
-    :param out_of_reach: how often gateways found a group out of reach, by group.
-    :param done: how often each kind of work was done.
-    :param late_s: by how much a thread of the stand-ins came late at most.
+    """Result of a seed.
+
+    :param served: number of attempts with a complete successful response.
+    :param outcomes: number of attempts by status; 0 means that the connection ended without a response.
+    :param refused: number of refusals by status and reason, with ``#`` for numbers.
+    :param broken_off: number of responses that gateways aborted, by reason likewise.
+    :param cuts: requests that were cut, each with the log lines about it.
+    :param out_of_reach: how often gateways found a group unreachable, by group.
+    :param done: number of operations by kind.
+    :param late_s: largest scheduling delay of a thread in this process, which also runs the
+        test servers.
     """
 
     violations: list[str]
@@ -58,10 +59,10 @@
 def play_planned(
     seed: int, seconds_s: float, clients: int, gateways: int, keep: Path | None = None
 ) -> PlannedResult:
-    """Play one seed.
+    """Run one seed.
 
-    :param seconds_s: time of planned work.
-    :param keep: where logs go if a promise was broken.
+    :param seconds_s: duration of the planned operations.
+    :param keep: folder for the logs if a guarantee was violated.
     """
     record = Record()
     with ThreadDelay() as thread_delay, PlannedWorld(record, seed, gateways) as world:
@@ -91,7 +92,7 @@
 
 
 def _with_log_lines(cut: Cut, lines: list[dict[str, Any]]) -> dict[str, Any]:
-    """Return a cut with what its gateway logged of the request."""
+    """Return a cut with the log lines about its request."""
     logged = [line for line in lines if line.get("attempt") == cut.attempt]
     return {**cut._asdict(), "lines": logged}
 
--- a/features/soak/planned/store.py
+++ b/features/soak/planned/store.py
@@ -1,4 +1,4 @@
-"""The platform's store as a process of its own, for many machines."""
+"""The platform store as a separate process, for many machines."""
 
 import bisect
 import http.client
@@ -13,14 +13,14 @@
 from features.support.zoned_world import PatientStore
 
 _ANSWER_S = 20.0
-#: Changes of each kind that watches may go on from.
+#: Number of changes of each kind that are kept for watches.
 _KEPT_CHANGES = 2_000
 
 _Change = tuple[int, dict[str, Any], bool]
 
 
 class IndexedStore(PatientStore):
-    """A store whose watches look at their own kind only and wake for it alone."""
+    """A store whose watches read and are woken by changes of their own kind only."""
 
     def __init__(self, machines: int) -> None:
         super().__init__(machines)
@@ -41,7 +41,7 @@
             self._move_change(kind)
 
     def _move_change(self, kind: str) -> None:
-        """Move the newest change to its kind and wake who watches that."""
+        """Move the newest change to the list of its kind and wake its watches."""
         at, _, item, gone = self.history.pop()
         changes = self._changes[kind]
         changes.append((at, item, gone))
@@ -63,7 +63,7 @@
 
 
 class StoreProcess:
-    """The store as operators and servers use it; ends its process when it is stopped."""
+    """Client of the store process, as operators and servers use it."""
 
     def __init__(self, machines: int) -> None:
         self._process = subprocess.Popen(
@@ -90,12 +90,12 @@
         return self._ask("GET", f"/objects/{kind}/{name}")
 
     def stop(self) -> None:
-        """Serve no more."""
+        """Kill the process."""
         self._process.kill()
         self._process.wait()
 
     def _ask(self, method: str, path: str, body: object = None) -> dict[str, Any] | None:
-        """Return an object that exists; for a new one, nothing."""
+        """Return an existing object; None if it is new or not found."""
         host, _, port = self.address.partition(":")
         connection = http.client.HTTPConnection(host, int(port), timeout=_ANSWER_S)
         try:
--- a/features/soak/planned/work.py
+++ b/features/soak/planned/work.py
@@ -1,4 +1,4 @@
-"""Planned work: what operators do to machines and to the configuration."""
+"""Planned operations of operators on machines and on the configuration."""
 
 import os
 import random
@@ -15,20 +15,21 @@
 from features.soak.resource_locks import ResourceLocks
 from features.soak.threads import ThreadGroup
 
-#: Seconds in which a gateway that was started is ready, and in which a storage machine is emptied.
+#: Seconds within which a started gateway is ready, and a retired storage machine is empty.
 _READY_S = 20.0
 _EMPTIED_S = 60.0
-#: Seconds that a gateway may need beyond its bound until its process is gone.
+#: Seconds beyond ``STOP_S`` that a machine may need until its process has exited.
 _SLACK_S = 1.0
-#: Gateways for each strand that stops them, and the most of these strands.
+#: Number of gateways per worker that stops them, and the maximum number of these workers.
 _GATEWAYS_PER_WORKER = 8
 _MAX_STOP_WORKERS = 4
 _POLL_S = 0.1
-#: The most changes or signals in a row.
+#: Upper bound of changes or signals in a row.
 _MAX_REPEATS = 6
-#: A storage machine's successor stands in its zone; its number tells which.
+#: Offset from a storage machine's number to its successor's. The number determines the zone, and
+#: a multiple of three keeps it.
 _SUCCESSOR_OFFSET = 9
-#: Seconds of rest behind each piece of work, by strand.
+#: Range of the pause in seconds after each operation, by worker.
 _PAUSES_S = {
     "content": (0.05, 1.0),
     "stop": (0.1, 1.0),
@@ -36,17 +37,17 @@
     "storage": (0.5, 2.0),
 }
 _RETIREMENT_S = 10
-#: Kinds of work beside changes of the configuration.
+#: Kinds of operations other than changes of the configuration.
 STOPPED, SIGNALLED, TOUCHED = "gateway stopped", "settings signalled", "settings touched"
 ADDED, REMOVED = "storage machine added", "storage machine removed"
 RESTARTED = "storage machine restarted"
 
 
 class PlannedWork(ThreadGroup):
-    """Strands of planned work at once, each one piece at a time, until it is left.
+    """Runs workers while the context is active, each one planned operation at a time.
 
-    :param seed: fixes the kinds and their order in each strand, not when.
-    :ivar done: how often each kind was done.
+    :param seed: determines the kinds and their order in each worker, but not their times.
+    :ivar done: number of operations by kind.
     """
 
     def __init__(self, world: PlannedWorld, record: Record, seed: int) -> None:
@@ -75,8 +76,8 @@
                 work(rng)
                 self._is_over.wait(rng.uniform(*_PAUSES_S[name]))
         except Exception as error:
-            # Without its work the run would show less than it claims.
-            self._record.note_violation(f"HARNESS: the strand {name!r} ended: {error!r}")
+            # A run without this worker's operations would test less than it reports.
+            self._record.note_violation(f"HARNESS: the worker {name!r} ended: {error!r}")
 
     def _count(self, kind: str) -> None:
         with self._lock:
@@ -100,7 +101,7 @@
             try:
                 process.wait(timeout=STOP_S + _SLACK_S)
             except subprocess.TimeoutExpired:
-                self._record.note_violation(f"DRAIN: {name} runs on {STOP_S} s after SIGTERM")
+                self._record.note_violation(f"DRAIN: {name} still runs {STOP_S} s after SIGTERM")
                 self._world.kill(name)
             if process.returncode:
                 self._record.note_violation(f"ENDED: {name} ended with {process.returncode}")
@@ -123,7 +124,7 @@
         rng.choice((self._restart_storage, self._replace_storage))(rng)
 
     def _restart_storage(self, rng: random.Random) -> None:
-        """Stop a storage machine and start it again with its disk."""
+        """Stop a storage machine and start it again with the same disk."""
         world = self._world
         name = rng.choice(world.replicas)
         process = world.kill(name, signal.SIGTERM)
@@ -135,7 +136,7 @@
         self._wait(lambda: world.listens(name), _READY_S, f"{name} listens")
 
     def _replace_storage(self, rng: random.Random) -> None:
-        """Add a storage machine, and have one of its zone emptied and removed."""
+        """Add a storage machine, and retire and remove another one of its zone."""
         world = self._world
         old = rng.choice(world.replicas)
         new = f"storage-{int(old.rpartition('-')[2]) + _SUCCESSOR_OFFSET}"
@@ -156,7 +157,7 @@
         return item is not None and (item["status"] or {}).get("state") == "complete"
 
     def _wait(self, condition: Callable[[], bool], limit_s: float, what: str) -> None:
-        """Wait for a condition; note what took too long, but for the end of the work."""
+        """Wait for a condition; record a violation if it takes too long before the run ends."""
         end = time.monotonic() + limit_s
         while not condition():
             if self._is_over.is_set():
--- a/features/soak/planned/world.py
+++ b/features/soak/planned/world.py
@@ -1,4 +1,4 @@
-"""Three zones of machines as processes, and engines whose streams last seconds."""
+"""Machines as processes in three zones, and engines whose streams last seconds."""
 
 import random
 import shutil
@@ -26,27 +26,27 @@
 from features.support.zoned_world import ZONES
 
 STORAGE_MACHINES = 8
-#: Seconds that a machine has to end behind SIGTERM.
+#: Seconds that a machine has to exit after SIGTERM.
 STOP_S = 8.0
 _SERVERS_PER_ENGINE_SERVICE = 4
 _LOOKUP_SERVERS = 2
-#: Parts of the requests that servers turn away or break off.
+#: Shares of the requests that servers reject or abort.
 _REJECTED_SHARE = 0.02
 _BROKEN_OFF_SHARE = 0.01
-#: How long streams last, in seconds.
+#: Range of the duration of streams in seconds.
 SHORTEST_S, LONGEST_S = 0.3, 3.5
 _LOOKUP_S = 0.02
 
 
 def stream_duration_s(attempt: str) -> float:
-    """Return how long the servers work on a stream; fixed by its attempt id."""
+    """Return the duration of a stream, which its attempt id determines."""
     return random.Random(attempt).uniform(SHORTEST_S, LONGEST_S)
 
 
 class PlannedWorld(PlatformWorld):
-    """Stand-ins and machines; a context manager that ends them all.
+    """Test servers, store and machines; a context manager that stops them all.
 
-    :ivar written: the routes' times of each version.
+    :ivar written: the timeouts of the routes in each version of the configuration.
     """
 
     stop_s = STOP_S
@@ -76,11 +76,11 @@
         self.stop()
 
     def make_store(self) -> StoreProcess:
-        """Return the platform's store."""
+        """Return the platform store."""
         return StoreProcess(STORAGE_MACHINES)
 
     def store_address(self, name: str) -> str:
-        """Return the address under which a machine reaches the store."""
+        """Return the address at which a machine reaches the store."""
         return self.store.address
 
     def publish(self) -> int:
@@ -91,7 +91,7 @@
 
     @contextmanager
     def edited_content(self) -> Iterator[Content]:
-        """Write the configuration when the context is left, as it was changed there."""
+        """Yield the configuration for changes and publish it at the end of the context."""
         with self._publish_lock:
             yield self.content
             self.version += 3
@@ -124,7 +124,7 @@
                 time.sleep(stream_duration_s(attempt) / count)
             call.wfile.write(b"0\r\n\r\n")
         except OSError:
-            # The gateway cancelled it; what its caller saw is judged, not what a server saw.
+            # The gateway cancelled it; the check uses what the caller received.
             call.close_connection = True
         return True
 
@@ -145,7 +145,7 @@
     # Machines
 
     def check_all_running(self) -> None:
-        """Note machines that ended by themselves, when all of them should run."""
+        """Record a violation for each machine whose process exited unexpectedly."""
         for name in [*self.replicas, *self.gateways]:
             code = self.processes[name].poll()
             if code is not None:
@@ -167,8 +167,8 @@
             shutil.copy(path, folder)
 
     def timeouts_at(self, gateway: str) -> Timeouts:
-        """Return the routes' times as they count at a gateway."""
-        # Machines of these worlds have the time of day of this process.
+        """Return the timeouts of the routes by when they were in force at a gateway."""
+        # The machines of this class have the same wall clock as this process.
         ahead_s = time.time() - time.monotonic()
         in_force: dict[int, float] = {}
         for line in self.log(gateway):
@@ -177,5 +177,5 @@
         return timeouts_in_force(self.written, in_force)
 
     def gateway_lines(self, kinds: tuple[str, ...]) -> list[dict[str, Any]]:
-        """Return the lines of some kinds that gateways have logged."""
+        """Return the log lines of the given kinds of all gateways."""
         return [line for name in self.gateways for line in self.log(name) if line["kind"] in kinds]
--- a/features/soak/promises.py
+++ b/features/soak/promises.py
@@ -1,4 +1,4 @@
-"""What clients and servers saw of each attempt, and the promises that must hold."""
+"""Record of what clients and servers observed, and the guarantees checked against it."""
 
 import threading
 from collections import Counter, defaultdict
@@ -7,29 +7,29 @@
 
 from features.soak.disruptions import Disruptions
 
-#: Tokens that one event counts for, as the stand-ins' configuration says.
+#: Tokens per event, as in the test configuration.
 EVENT_TOKENS = 10
-#: The most tokens of one turn.
+#: Maximum number of tokens of one turn.
 TURN_TOKENS = 50
-#: Statuses that promise that the attempt never runs.
+#: Statuses that guarantee that the attempt never runs.
 NOT_RUN = (402, 408, 421, 429, 503)
-#: Statuses that say that the turn before is not known.
+#: Statuses that report an unknown previous turn.
 TURN_UNKNOWN = (404, 410)
-#: Seconds that each attempt has.
+#: Deadline of each attempt in seconds.
 DEADLINE_S = 3.0
-#: Seconds behind its last byte within which a request that no server got may be dropped.
+#: Seconds after its last byte within which a request that no server got may be dropped.
 LOSS_SLACK_S = 0.2
 
 
 def events_of(attempt: str) -> int:
-    """Return how many events the servers make for a turn; fixed by its attempt id."""
+    """Return the number of events of a turn, which its attempt id determines."""
     return 1 + sum(attempt.encode()) % (TURN_TOKENS // EVENT_TOKENS)
 
 
 class SentRequest(NamedTuple):
-    """A request that was sent whole.
+    """A request that was sent completely.
 
-    :param at: moment of the monotonic clock.
+    :param at: time on the monotonic clock.
     """
 
     gateway: str
@@ -39,9 +39,10 @@
 class AttemptEnd(NamedTuple):
     """How an attempt ended for its client.
 
-    :param status: 0 if the connection ended without an answer.
-    :param body: the body as far as it came.
-    :param at: moment of the monotonic clock.
+    :param status: 0 if the connection ended without a response.
+    :param is_whole: whether the response was complete.
+    :param body: the bytes of the body that were received.
+    :param at: time on the monotonic clock.
     """
 
     status: int
@@ -51,11 +52,11 @@
 
 
 class FinishedAttempt(NamedTuple):
-    """An attempt that was sent whole and has ended.
+    """An attempt that was sent completely and has ended.
 
-    :param was_taken: whether the gateway has surely read it: it reached a server, its answer
-        began, or the gateway held it for longer than it may and then drop it.
-    :param was_broken_off: whether a server broke off its answer.
+    :param was_taken: whether the gateway is known to have read it: it reached a server, its
+        response began, or the gateway admitted it and held it for over ``LOSS_SLACK_S``.
+    :param was_broken_off: whether a server aborted its response.
     """
 
     attempt: str
@@ -66,7 +67,7 @@
 
 
 class Record:
-    """Collects what was seen; thread-safe."""
+    """Collects the observations of clients and servers; thread-safe."""
 
     def __init__(self) -> None:
         self.disruptions = Disruptions()
@@ -84,70 +85,70 @@
         self._violations: list[str] = []
 
     def note_program(self, program: str, budget: int) -> None:
-        """Note a program and the tokens that it may emit."""
+        """Record a program and the tokens that it may emit."""
         with self._lock:
             self._budgets[program] = budget
 
     def note_attempt(self, attempt: str, expected: bytes, program: str = "") -> None:
-        """Note an attempt and the body that servers are to get, before it is sent."""
+        """Record an attempt and the body expected at servers, before it is sent."""
         with self._lock:
             self._expected[attempt] = expected
             self._programs[attempt] = program
 
     def note_sent(self, attempt: str, sent: SentRequest) -> None:
-        """Note that an attempt was sent whole."""
+        """Record that an attempt was sent completely."""
         with self._lock:
             self._sent[attempt] = sent
 
     def note_admitted(self, attempts: Iterable[str]) -> None:
-        """Note attempts that gateways read whole."""
+        """Record attempts that gateways read completely."""
         with self._lock:
             self._read.update(attempts)
 
     def note_reached(self, attempt: str) -> None:
-        """Note that a server got an attempt, whether or not it turns it away."""
+        """Record that a server got an attempt, whether or not it rejects it."""
         with self._lock:
             self._reached.add(attempt)
 
     def note_started(self, attempt: str, body: bytes) -> None:
-        """Note that a server began to work on an attempt."""
+        """Record that a server began to run an attempt."""
         with self._lock:
             self._reached.add(attempt)
             self._arrived[attempt].append(body)
 
     def note_broken_off(self, attempt: str) -> None:
-        """Note that a server broke off its answer to an attempt."""
+        """Record that a server aborted its response to an attempt."""
         with self._lock:
             self._broken_off.add(attempt)
 
     def note_continued(self, turn: str, gateway: str, attempts: list[str]) -> None:
-        """Note the attempts with which a program went on from an answered turn, all at once."""
+        """Record all attempts with which a program continued an answered turn."""
         with self._lock:
             self._went_on.append((turn, gateway, attempts))
 
     def note_ended(self, attempt: str, end: AttemptEnd) -> None:
-        """Note how an attempt ended for its client."""
+        """Record how an attempt ended for its client."""
         with self._lock:
             self._ended[attempt] = end
 
     def note_violation(self, text: str) -> None:
-        """Note a broken promise that was seen at once."""
+        """Record a violation that was detected immediately."""
         with self._lock:
             self._violations.append(text)
 
     def any_reached(self, attempts: Iterable[str]) -> bool:
-        """Return whether a server got one of some attempts."""
+        """Return whether a server got any of the attempts."""
         with self._lock:
             return not self._reached.isdisjoint(attempts)
 
     @property
     def served(self) -> int:
-        """Return how many attempts were answered whole with a success."""
+        """Return the number of attempts with a complete successful response."""
         with self._lock:
             return sum(end.status == 200 and end.is_whole for end in self._ended.values())
 
     def finished_attempts(self) -> list[FinishedAttempt]:
-        """Return the attempts that were sent whole and have ended."""
+        """Return the attempts that were sent completely and have ended."""
         with self._lock:
             return [
                 FinishedAttempt(
@@ -162,12 +163,12 @@
             ]
 
     def outcomes(self) -> Counter[int]:
-        """Return how many attempts ended with each status."""
+        """Return the number of attempts by status."""
         with self._lock:
             return Counter(end.status for end in self._ended.values())
 
     def violations(self) -> list[str]:
-        """Return every broken promise."""
+        """Return all violations of the guarantees."""
         with self._lock:
             found = list(self._violations)
             for attempt, bodies in self._arrived.items():
@@ -204,13 +205,13 @@
 
     def _of_planned_work(self) -> list[str]:
         return [
-            f"LOST: {attempt} was cut by planned work on {sent.gateway}"
+            f"LOST: {attempt} was cut by a planned operation on {sent.gateway}"
             for attempt, sent in self._sent.items()
             if attempt in self._ended and self._is_cut(attempt, sent, self._ended[attempt])
         ]
 
     def _is_cut(self, attempt: str, sent: SentRequest, end: AttemptEnd) -> bool:
-        """Return whether planned work alone ended a request that its gateway had read."""
+        """Return whether only planned operations ended a request that its gateway had read."""
         if end.is_whole or attempt in self._broken_off or end.at - sent.at >= DEADLINE_S:
             return False
         was_taken = self._was_taken(attempt, sent, end)
--- a/features/soak/proxy.py
+++ b/features/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A TCP proxy on loopback that can fall silent, refuse or slow its connections."""
+"""TCP proxy on loopback that can stall, reset or delay its connections."""
 
 import contextlib
 import select
@@ -12,8 +12,8 @@
 
 _CHUNK_BYTES = 65536
 _POLL_S = 0.02
-#: Milliseconds for which a direction without bytes waits, if nothing wakes it before. A connection
-#: that its other direction has reset ends only behind that.
+#: Maximum wait of an idle direction in milliseconds. A connection that its other direction has
+#: reset ends only after this wait.
 _IDLE_MS = 100
 _SLOW_S = 0.15
 _RESET = struct.pack("ii", 1, 0)
@@ -23,22 +23,22 @@
     """What a proxy does with its connections."""
 
     PASS = "pass"
-    #: Nothing goes through, and nothing is reset: a cut or a machine without power.
+    #: Nothing is forwarded and nothing is reset, as in a network partition or a power failure.
     SILENT = "silent"
-    #: Connections are reset, new ones as well.
+    #: Existing and new connections are reset.
     REFUSE = "refuse"
     SLOW = "slow"
 
 
 class Proxy:
-    """Passes connections on to a target.
+    """Forwards connections to a target.
 
-    :param target: returns ``IP:port``; asked for each connection.
+    :param target: returns ``IP:port``; called for each connection.
     """
 
     def __init__(self, target: Callable[[], str]) -> None:
         self._mode = Mode.PASS
-        #: Has a byte to read while bytes do not just pass, which wakes all directions.
+        #: Readable whenever the mode isn't PASS, which wakes all directions.
         self._woken, self._waker = socket.socketpair()
         self._accepted = 0
         self._last_silenced = 0
@@ -57,7 +57,7 @@
 
     @property
     def mode(self) -> Mode:
-        """What is done with connections."""
+        """How connections are treated."""
         return self._mode
 
     @mode.setter
@@ -70,13 +70,13 @@
                 self._woken.recv(1)
 
     def close(self) -> None:
-        """End the proxy and its connections."""
+        """Stop the proxy and its connections."""
         self._is_open = False
         self._listener.close()
         self._waker.close()
 
     def silence_open(self) -> None:
-        """Let connections that are open now say nothing more, for good; new ones pass."""
+        """Discard all further bytes of the connections open now; new ones are not affected."""
         self._last_silenced = self._accepted
 
     def _accept(self) -> None:
@@ -101,8 +101,8 @@
             return
         for one in (conn, upstream):
             one.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            # Two threads use each socket, and a time-out is the socket's: were it changed around
-            # each sending, the other's receiving would fail now and then.
+            # Two threads use each socket and share its timeout: setting one for a send would make
+            # the other thread's receive fail occasionally.
             one.settimeout(None)
         back = threading.Thread(target=self._pump, args=(upstream, conn, number), daemon=True)
         back.start()
@@ -112,7 +112,7 @@
         upstream.close()
 
     def _wait_until_open(self) -> bool:
-        """Wait while silent; return whether bytes may pass."""
+        """Wait while the mode is SILENT; return whether bytes may be forwarded."""
         while self._is_open and self.mode is Mode.SILENT:
             time.sleep(_POLL_S)
         return self._is_open and self.mode is not Mode.REFUSE
@@ -132,7 +132,7 @@
                 _reset(sink)
                 return
             if number <= self._last_silenced and data:
-                # Taken from its sender, and never seen again.
+                # Received, but discarded instead of forwarded.
                 continue
             if self.mode is Mode.SLOW:
                 time.sleep(_SLOW_S)
@@ -144,7 +144,7 @@
                 return
 
     def _has_arrived(self, source: socket.socket) -> bool:
-        """Wait until there is something to read, or the mode may have changed."""
+        """Wait for readable bytes, a change of mode or a timeout; return whether bytes arrived."""
         arrivals = select.poll()
         arrivals.register(source, select.POLLIN)
         is_passing = self._mode is Mode.PASS
@@ -155,7 +155,7 @@
 
 
 def _pass_on(data: bytes, sink: socket.socket) -> bool:
-    """Send bytes, or the end if there are none; return whether that went."""
+    """Send bytes, or shut down the sending side if there are none; return whether it worked."""
     try:
         if data:
             sink.sendall(data)
--- a/features/soak/resource_locks.py
+++ b/features/soak/resource_locks.py
@@ -1,4 +1,4 @@
-"""Who strikes what: strands of faults that run at once take turns at each machine and server."""
+"""Locks by which concurrent workers use each machine and server one at a time."""
 
 import random
 import threading
@@ -7,7 +7,7 @@
 
 
 class ResourceLocks:
-    """Names that strands hold; thread-safe."""
+    """Locks by name of a machine or server; thread-safe."""
 
     def __init__(self) -> None:
         self._changed = threading.Condition()
@@ -16,7 +16,7 @@
 
     @contextmanager
     def lock_any(self, names: list[str], rng: random.Random) -> Iterator[str | None]:
-        """Hold one of some names until the context is left; None if none is free."""
+        """Hold the lock of one free name during the context; yield None if none is free."""
         with self._changed:
             free = [name for name in names if name not in self._held | self._wanted]
             name = rng.choice(free) if free else None
@@ -28,9 +28,9 @@
 
     @contextmanager
     def lock_all(self, names: list[str]) -> Iterator[bool]:
-        """Hold names until the context is left, once they are free.
+        """Wait for the locks of all names and hold them during the context.
 
-        False is given at once if another strand already waits for any of them.
+        False is yielded at once if another worker already waits for any of them.
         """
         wanted = set(names)
         with self._changed:
--- a/features/soak/run.py
+++ b/features/soak/run.py
@@ -1,4 +1,4 @@
-"""One seed of the soak, from the start of the machines to the verdict."""
+"""Run one seed of the soak test, from the start of the machines to the result."""
 
 import time
 from pathlib import Path
@@ -13,21 +13,23 @@
 from features.soak.workload import Workload
 from features.soak.world import SoakWorld
 
-#: Seconds of planned work alone, before all kinds of faults.
+#: Seconds of planned operations only, before faults of all kinds are injected.
 PLANNED_S = 5.0
+#: Default number of concurrent faults.
 STRANDS = 3
 _SETTLE_S = 1.5
 _POLL_S = 0.2
 
 
 class Result(NamedTuple):
-    """What a seed showed.
+    """Result of a seed.
 
-    :param served: attempts that were answered whole.
-    :param outcomes: attempts by status; 0 is a connection that ended without an answer.
-    :param faults: how often each kind struck.
-    :param finals: what followed each final fault.
-    :param late_s: by how much a thread of the stand-ins came late at most.
+    :param served: number of attempts with a complete successful response.
+    :param outcomes: number of attempts by status; 0 means that the connection ended without a response.
+    :param faults: number of injected faults by kind.
+    :param finals: result of each final fault.
+    :param late_s: largest scheduling delay of a thread in this process, which also runs the
+        test servers.
     """
 
     violations: list[str]
@@ -47,11 +49,11 @@
     replicas: int = 3,
     strands: int = STRANDS,
 ) -> Result:
-    """Play one seed.
+    """Run one seed.
 
-    :param seconds_s: time of faults of all kinds.
-    :param keep: where logs go if a promise was broken.
-    :param strands: how many faults there are at most at once.
+    :param seconds_s: duration of the phase with faults of all kinds.
+    :param keep: folder for the logs if a guarantee was violated.
+    :param strands: maximum number of concurrent faults.
     """
     record = Record()
     final_faults: list[FinalFaultResult] = []
@@ -86,13 +88,13 @@
 
 
 def _final_faults(seed: int) -> list[FinalFault]:
-    """Return the final faults of a seed: each kind once, every other seed the other way round."""
+    """Return the final faults of a seed: each kind once, in reverse order for even seeds."""
     kinds = list(FinalFault)
     return kinds if seed % 2 else kinds[::-1]
 
 
 def _wait_recovered(record: Record) -> None:
-    """Wait until attempts are served again; raise AssertionError if they are not."""
+    """Wait until attempts are served again; raise AssertionError after ``RECOVER_S``."""
     end = time.monotonic() + RECOVER_S
     time.sleep(_SETTLE_S)
     before = record.served
--- a/features/soak/slot_pressure.py
+++ b/features/soak/slot_pressure.py
@@ -1,4 +1,4 @@
-"""New programs without a history that press for the servers' places."""
+"""New programs without a history that compete for the servers' slots."""
 
 import random
 import threading
@@ -11,9 +11,9 @@
 from features.soak.workload import FINISH_S
 from features.soak.world import LONG_PREFIX, SoakWorld
 
-#: Programs at once, in parts of the servers' places: more than they may hold of new programs.
+#: Concurrent programs per slot: more than the share of the slots that new programs may use.
 _PROGRAMS_PER_SLOT = 1.6
-#: Part of the places from which servers count as nearly full.
+#: Share of occupied slots from which the servers count as nearly full.
 _FULL_SHARE = 0.8
 _TRIES = 6
 _BUDGET = 400
@@ -21,9 +21,9 @@
 
 
 class SlotPressure(ThreadGroup):
-    """Programs of one long turn each, in threads, until it is left.
+    """Runs programs of one long turn each in threads while the context is active.
 
-    :ivar max_active_turns: the most places that were seen taken.
+    :ivar max_active_turns: largest number of occupied slots that was observed.
     """
 
     def __init__(self, world: SoakWorld, record: Record, name: str) -> None:
@@ -38,7 +38,7 @@
         self._threads.append(threading.Thread(target=self._watch))
 
     def wait_full(self, end: float) -> None:
-        """Wait until the servers are nearly full, or for a moment of the monotonic clock."""
+        """Wait until the servers are nearly full, or until a time of the monotonic clock."""
         while (
             time.monotonic() < end
             and self._world.active_turns < _FULL_SHARE * self._world.total_slots
--- a/features/soak/thread_delay.py
+++ b/features/soak/thread_delay.py
@@ -1,4 +1,4 @@
-"""How late the threads of the stand-ins come: on a busy machine they answer late."""
+"""Scheduling delay of this process: on a busy machine its test servers respond late."""
 
 import threading
 import time
@@ -8,9 +8,9 @@
 
 
 class ThreadDelay:
-    """Measures from when it is entered until it is left.
+    """Measures the scheduling delay of a sleeping thread during the context.
 
-    :ivar max_delay_s: by how much a thread that sleeps came late at most.
+    :ivar max_delay_s: largest delay in seconds.
     """
 
     def __init__(self) -> None:
--- a/features/soak/threads.py
+++ b/features/soak/threads.py
@@ -1,11 +1,11 @@
-"""Threads that work until they are told to end."""
+"""Threads that run until a stop event is set."""
 
 import threading
 from typing import Self
 
 
 class ThreadGroup:
-    """Threads that run while the context is entered; subclasses fill ``_threads``."""
+    """Threads that run while the context is active; subclasses fill ``_threads``."""
 
     def __init__(self) -> None:
         self._is_over = threading.Event()
--- a/features/soak/turns.py
+++ b/features/soak/turns.py
@@ -1,4 +1,4 @@
-"""Turns of programs, as clients send them and judge their answers."""
+"""Turns of programs: how clients send them and check the responses."""
 
 import threading
 import time
@@ -11,9 +11,10 @@
 
 
 class Turn(NamedTuple):
-    """A turn that was answered whole.
+    """A turn with a complete successful response.
 
-    :param at: when, on the monotonic clock.
+    :param chain: inputs and outputs of the conversation up to and including the turn.
+    :param at: time of the response on the monotonic clock.
     """
 
     attempt: str
@@ -21,15 +22,16 @@
     at: float = 0.0
 
 
-#: What a program's first turn goes on from.
+#: Previous turn of a program's first turn.
 NO_TURN = Turn("", b"")
 
 
 class Program(NamedTuple):
     """A program of turns.
 
-    :param finish_at: when it should be over, on the monotonic clock.
-    :param own_tokens: of its prompt that no other program shares.
+    :param budget: tokens that it may emit.
+    :param finish_at: desired end on the monotonic clock.
+    :param own_tokens: prompt tokens, without the history, that no other program shares.
     """
 
     name: str
@@ -39,19 +41,19 @@
 
 
 class AnsweredTurns:
-    """The turns that were answered whole; thread-safe."""
+    """The turns with a complete successful response; thread-safe."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self._turns: list[Turn] = []
 
     def add(self, turn: Turn) -> None:
-        """Take in a turn."""
+        """Add a turn."""
         with self._lock:
             self._turns.append(turn)
 
     def since(self, at: float) -> list[Turn]:
-        """Return the turns from a moment of the monotonic clock on, the oldest first."""
+        """Return the turns answered since a time of the monotonic clock, oldest first."""
         with self._lock:
             return sorted((turn for turn in self._turns if turn.at >= at), key=lambda one: one.at)
 
@@ -59,7 +61,7 @@
 def send_turn(
     client: Client, record: Record, gateway: str, program: Program, attempt: str, previous: Turn
 ) -> tuple[Turn | None, int]:
-    """Send a turn; return it if it was answered whole, and the status."""
+    """Send a turn; return it if its response was complete and successful, and the status."""
     body = f"input of {attempt}".encode()
     expected = previous.chain + body
     record.note_attempt(attempt, expected, program.name)
--- a/features/soak/workload.py
+++ b/features/soak/workload.py
@@ -1,4 +1,4 @@
-"""Clients: programs of stateful turns, and lookups that may run once only."""
+"""Client load: programs of stateful turns, and lookups that must run at most once."""
 
 import random
 import threading
@@ -10,15 +10,15 @@
 from features.soak.turns import NO_TURN, AnsweredTurns, Program, send_turn
 from features.soak.world import LOOKUP, SoakWorld
 
-#: Seconds in which a program should be over.
+#: Seconds within which a program should finish.
 FINISH_S = 4.0
 
 
 class Workload(ThreadGroup):
-    """Clients in threads, until it is left.
+    """Runs clients in threads while the context is active.
 
-    :param seed: fixes what each client does, not when.
-    :ivar answered: the turns that were answered whole.
+    :param seed: determines the requests of each client, but not their times.
+    :ivar answered: the turns with a complete successful response.
     """
 
     def __init__(self, world: SoakWorld, record: Record, seed: int, clients: int) -> None:
@@ -57,7 +57,7 @@
         turn = NO_TURN
         failures = 0
         for step in range(rng.randrange(2, 9)):
-            # A turn that failed goes out again, as an attempt of its own.
+            # A failed turn is sent again as a new attempt.
             while not self._is_over.is_set() and failures < 6:
                 gateway = rng.choice(self._world.gateways)
                 attempt = f"{name}-{step}-{failures}"
--- a/features/soak/world.py
+++ b/features/soak/world.py
@@ -1,4 +1,4 @@
-"""Machines as processes, each behind a proxy to the store, and servers behind proxies."""
+"""Machines as processes that reach the store and the servers through proxies."""
 
 import json
 import random
@@ -23,20 +23,20 @@
 
 CHAT = "chat"
 LOOKUP = "records"
-#: Places of a server and seconds that turns are kept, as the stand-ins' configuration says.
+#: Slots of a server and retention of turns in seconds, as in the test configuration.
 SLOTS = 16
 RETAIN_S = 60.0
 _LOOKUP_SERVERS = 2
 _CHAT_SERVERS = 3
-#: Parts of the requests that servers turn away, lose the answer of, or break off.
+#: Shares of the requests that servers reject, drop the response of, or abort.
 _REJECTED_SHARE = 0.03
 _LOST_ANSWER_SHARE = 0.02
 _BROKEN_OFF_SHARE = 0.02
 _EVENT_PAUSE_S = 0.01
-#: How ids of attempts begin that hold a place for long, and the pause behind each of their events.
+#: Prefix of the ids of attempts that occupy a slot for long, and the pause after each event.
 LONG_PREFIX = "long-"
 _LONG_EVENT_PAUSE_S = 0.5
-#: Starts a machine whose time of day is off by the seconds in the first argument.
+#: Starts a machine whose wall clock is offset by the seconds in the first argument.
 _START = (
     "import runpy, sys, time; off = float(sys.argv.pop(1)); real = time.time;"
     " time.time = lambda: real() + off;"
@@ -45,7 +45,7 @@
 
 
 class SoakWorld(PlatformWorld):
-    """Stand-ins and machines; a context manager that ends them all."""
+    """Test servers, store and machines; a context manager that stops them all."""
 
     def __init__(self, record: Record, seed: int, gateways: int = 2, replicas: int = 3) -> None:
         self._record = record
@@ -53,9 +53,9 @@
         self._rng_lock = threading.Lock()
         self._clock_rng = random.Random(f"{seed}/clocks")
         self._publish_lock = threading.Lock()
-        #: Turns that servers work on.
+        #: Number of turns that the servers are running.
         self.active_turns = 0
-        #: Where the log of each machine's present process begins.
+        #: Offset in each machine's log at which its current process began.
         self._log_offsets: defaultdict[str, int] = defaultdict(int)
         self.store_proxies: dict[str, Proxy] = {}
         self.server_proxies: dict[str, Proxy] = {}
@@ -79,16 +79,16 @@
         for proxy in [*self.store_proxies.values(), *self.server_proxies.values()]:
             proxy.close()
 
-    # What stands between
+    # Proxies
 
     def store_address(self, name: str) -> str:
-        """Return the address under which a machine reaches the store."""
+        """Return the address at which a machine reaches the store, that of its proxy."""
         if name not in self.store_proxies:
             self.store_proxies[name] = Proxy(lambda: self.store.address)
         return self.store_proxies[name].address
 
     def listed_address(self, server_id: str, address: str) -> str:
-        """Return the address under which a server is listed."""
+        """Return the address that is listed for a server, that of its proxy."""
         if server_id not in self.server_proxies:
             self.server_proxies[server_id] = Proxy(lambda: address)
         return self.server_proxies[server_id].address
@@ -99,7 +99,7 @@
             return super().publish()
 
     def command(self, name: str) -> list[str]:
-        """Return the command of a machine; its time of day is up to 2 s off."""
+        """Return the command of a machine; its wall clock is offset by up to 2 s."""
         off_s = self._clock_rng.uniform(-2.0, 2.0)
         return [sys.executable, "-c", _START, f"{off_s:.3f}"]
 
@@ -131,7 +131,7 @@
 
     @property
     def total_slots(self) -> int:
-        """Return how many turns the servers work on at once."""
+        """Return the total number of slots of the servers for turns."""
         return _CHAT_SERVERS * SLOTS
 
     def _look_up(self, call: QuietHandler, arrival: Arrival) -> bool:
@@ -161,12 +161,12 @@
         return [*self.replicas, *self.gateways]
 
     def kill(self, name: str, number: int = signal.SIGKILL) -> subprocess.Popen:
-        """Send a signal to a machine's process, which is to be there still."""
+        """Send a signal to a machine's process, which must still be running."""
         self._check_running(name)
         return super().kill(name, number)
 
     def kill_all(self, names: list[str]) -> None:
-        """Kill machines at the same moment."""
+        """Kill several machines at once."""
         for name in names:
             self._check_running(name)
             self.processes[name].send_signal(signal.SIGKILL)
@@ -174,7 +174,7 @@
             self.processes[name].wait()
 
     def check_all_running(self) -> None:
-        """Note machines that ended by themselves, when all of them should run."""
+        """Record a violation for each machine whose process exited unexpectedly."""
         for name in self.machines:
             self._check_running(name)
 
@@ -184,7 +184,7 @@
             self._record.note_violation(f"ENDED: {name} ended by itself, exit code {code}")
 
     def admitted_attempts(self) -> set[str]:
-        """Return the attempts that gateways logged as read whole."""
+        """Return the attempts that gateways logged as admitted, their body read completely."""
         found = set()
         for name in self.gateways:
             for line in self._log_path(name).read_text(errors="replace").splitlines():
@@ -193,13 +193,13 @@
         return found
 
     def restart(self, name: str) -> subprocess.Popen:
-        """Start a machine's process again, not for the first time."""
+        """Start a machine's process again."""
         self._log_offsets[name] = self._log_path(name).stat().st_size
         self.start_machine(name, is_gateway=name in self.gateways)
         return self.processes[name]
 
     def has_started(self, name: str) -> bool:
-        """Return whether a machine's process told that it has started."""
+        """Return whether a machine's current process has logged that it has started."""
         with self._log_path(name).open("rb") as log:
             log.seek(self._log_offsets[name])
             return b'"change":"started"' in log.read()
