--- a/features/environment.py
+++ b/features/environment.py
@@ -17,13 +17,13 @@
 
 
 def after_feature(context: Context, feature: Feature) -> None:
-    """End the shared processes."""
+    """Stop the shared processes."""
     if context.shared_system is not None:
         context.shared_system.stop()
 
 
 def before_scenario(context: Context, scenario: Scenario) -> None:
-    """Start the processes of a scenario tagged ``own_system``."""
+    """Start the processes that the scenario's tags ask for."""
     context.own_system = System() if "own_system" in scenario.effective_tags else None
     if context.own_system is not None:
         context.system = context.own_system
@@ -44,7 +44,7 @@
 
 
 def after_scenario(context: Context, scenario: Scenario) -> None:
-    """End the processes of the scenario."""
+    """Stop the processes of the scenario."""
     if context.own_system is not None:
         context.own_system.stop()
     if context.platform is not None:
--- a/features/processor_bench.py
+++ b/features/processor_bench.py
@@ -1,9 +1,9 @@
-"""Processor time that machines take for a request and while idle, paired with another checkout.
+"""Measure the processor time of machines per request and while idle, against another checkout.
 
     python -m features.processor_bench [--against CHECKOUT] [--limits] [--rounds 3]
 
-The machines are real processes on loopback before stand-in servers; a round of the other
-checkout follows each round of this one, so that a busy machine slows both.
+The machines are real processes on loopback with test servers. Rounds of this and the other
+checkout alternate, so that other load on the computer affects both.
 """
 
 import os
@@ -19,15 +19,15 @@
 
 from features.support.platform_world import ROOT, PlatformWorld, stream
 
-#: Seconds that machines are left alone, and that clients ask without a pause of their own.
+#: Durations of the idle and of the busy phase in seconds.
 IDLE_S = 5.0
 BUSY_S = 6.0
-#: Clients, and seconds between two requests of one: some 200 requests a second in all.
+#: Number of clients, and each one's pause between requests: some 200 requests a second in total.
 CLIENTS = 6
 PAUSE_S = 0.02
-#: Seconds after a new limit until every replica lends.
+#: Seconds after a new rate limit until every replica issues permits.
 SETTLE_S = 2.5
-#: One request in so many is a turn of eleven events; the others are lookups.
+#: Every third request is a turn of eleven events; the others are lookups.
 TURN_EVERY = 3
 REQUESTS_PER_PROGRAM = 9
 KEY = "key-a"
@@ -35,19 +35,19 @@
 
 
 class Usage(NamedTuple):
-    """What a process has used since its start."""
+    """Processor time and wake-ups of a process since its start."""
 
     cpu_s: float
     wakeups: int
 
 
 class Cost(NamedTuple):
-    """What the machines of a role took in a round.
+    """Cost of the machines of a role in a round.
 
-    :ivar idle_share: of a core, one machine.
-    :ivar idle_wakeups: one machine, a second.
-    :ivar request_ms: processor time of all machines of the role for a request.
-    :ivar request_wakeups: how often they slept and were woken for a request.
+    :ivar idle_share: share of a core that one idle machine uses.
+    :ivar idle_wakeups: wake-ups per second of one idle machine.
+    :ivar request_ms: processor time per request of all machines of the role, in milliseconds.
+    :ivar request_wakeups: wake-ups per request of all machines of the role.
     """
 
     idle_share: float
@@ -65,7 +65,7 @@
 
     def command(self, name: str) -> list[str]:
         """Return the command that runs a machine."""
-        # The folder of a module that is run goes before all others on Python's path.
+        # The checkout is put first on Python's module path.
         program = f"import sys; sys.path.insert(0, {str(self._checkout)!r})"
         run = "import runpy; runpy.run_module('yarrowwall.platform', run_name='__main__')"
         python, *_ = super().command(name)
@@ -73,7 +73,7 @@
 
 
 def usage(pid: int) -> Usage:
-    """Return what a process has used."""
+    """Return the resource usage of a process."""
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
     cpu_s = (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
     lines = Path(f"/proc/{pid}/status").read_text().splitlines()
@@ -83,7 +83,7 @@
 
 @contextmanager
 def _measured(world: PlatformWorld) -> Iterator[dict[str, Usage]]:
-    """Fill in, at the end, what each machine used within."""
+    """Yield a dict that is filled with each machine's usage at the end of the context."""
     before = {name: usage(process.pid) for name, process in world.processes.items()}
     used: dict[str, Usage] = {}
     yield used
@@ -93,7 +93,7 @@
 
 
 def play(checkout: Path, has_limits: bool) -> dict[str, Cost]:
-    """Play a round; return the costs by role."""
+    """Run a round; return the costs by role."""
     world = _World(checkout)
     try:
         world.wait_ready()
@@ -124,7 +124,7 @@
 
 
 def _run_clients(world: PlatformWorld, has_limits: bool) -> int:
-    """Let clients ask for a while; return how many requests were answered with success."""
+    """Run clients for ``BUSY_S``; return the number of successful requests."""
     counts = [0] * CLIENTS
     end_s = time.monotonic() + BUSY_S
     threads = [
@@ -162,10 +162,10 @@
 
 @click.command()
 @click.option("--against", type=click.Path(exists=True, path_type=Path), help="Other checkout.")
-@click.option("--limits", is_flag=True, help="All requests are of a tenant with a limit.")
+@click.option("--limits", is_flag=True, help="Send all requests for a tenant with a rate limit.")
 @click.option("--rounds", default=3, show_default=True)
 def main(against: Path | None, limits: bool, rounds: int) -> None:
-    """Print each figure's median, and its least and most over the rounds."""
+    """Print the median, minimum and maximum of each figure over the rounds."""
     checkouts = {"this": ROOT} | ({"other": against.resolve()} if against else {})
     found: dict[str, list[dict[str, Cost]]] = {name: [] for name in checkouts}
     for _ in range(rounds):
--- a/features/run.py
+++ b/features/run.py
@@ -1,12 +1,12 @@
 """Run all scenarios and print one line ``N passed, N failed`` at the end.
 
-Scenarios run in several processes: those that share a running system in one, each other
-one in its own. Few of those that start machines run at once, since they measure time; those
-that only compute run beside them.
+Scenarios run in several processes: the scenarios of a feature that share a running system in one,
+each other scenario in a separate one. Few of those that start machines run concurrently, since
+they measure time; those that only compute run at the same time as these.
 
 Scenarios named in KNOWN-RED.txt (``scenario name | cause | issue``) are run
-and printed; their failures do not count. One that passes there counts as
-failed, so that the list is kept short.
+and printed; their failures do not count. One that passes counts as
+failed, so that it is removed from the list.
 """
 
 import json
@@ -29,7 +29,7 @@
 ROOT = Path(__file__).parent.parent
 KNOWN_RED = ROOT / "KNOWN-RED.txt"
 MAX_KNOWN_RED = 3
-#: Tags of scenarios that start processes of their own.
+#: Tags of scenarios that start processes.
 SYSTEM_TAGS = {
     "own_system",
     "platform_world",
@@ -40,23 +40,23 @@
     "two_losses_world",
 }
 SHARED_TAG = "shared_system"
-#: Jobs at once that start machines, each some five processes that mostly wait, and jobs that
-#: compute all the time: together they leave a third of eight processors free.
+#: Maximum numbers of concurrent jobs that start machines (each some five processes that mostly
+#: wait) and of those that only compute. Together they leave a third of eight processors free.
 MACHINE_JOBS = 2 if (os.cpu_count() or 1) >= 8 else 1
 COMPUTING_JOBS = max(1, (os.cpu_count() or 1) // 2 - 1)
-#: Seconds after which a job counts as hung. The longest takes some 60 s on a free machine.
+#: Seconds after which a job counts as hung. The longest takes some 60 s on an idle machine.
 JOB_SECONDS = 1200.0
-#: Jobs of which the durations are printed.
+#: Number of slowest jobs whose durations are printed.
 SLOWEST_SHOWN = 5
 
 
 class Job(NamedTuple):
     """Scenarios that one process runs.
 
-    :param number: place of the job, by which it gets ports of its own.
+    :param number: index of the job, which selects its port range.
     :param places: ``file:line`` of each scenario, or a whole file.
     :param names: the scenarios' names.
-    :param starts_machines: whether it measures time on processes of its own.
+    :param starts_machines: whether its scenarios start processes and measure time.
     """
 
     number: int
@@ -66,10 +66,10 @@
 
 
 class Outcome(NamedTuple):
-    """What a job came to.
+    """Result of a job.
 
     :param results: whether each scenario passed, by name.
-    :param text: what it printed.
+    :param text: its output.
     """
 
     job: Job
@@ -111,7 +111,7 @@
 
 
 def run_job(job: Job) -> Outcome:
-    """Run the scenarios of a job in a process of its own."""
+    """Run the scenarios of a job in a separate process."""
     began = time.monotonic()
     with tempfile.TemporaryDirectory() as folder:
         report = Path(folder) / "report.json"
@@ -129,10 +129,10 @@
             )
         except subprocess.TimeoutExpired as error:
             results = dict.fromkeys(job.names, False)
-            return Outcome(job, results, f"no end after {error.timeout} s", JOB_SECONDS)
+            return Outcome(job, results, f"timed out after {error.timeout} s", JOB_SECONDS)
         results = _results(report)
     text = done.stdout + done.stderr
-    # A scenario that never ran has not passed.
+    # A scenario that did not run counts as failed.
     complete = {name: results.get(name, False) for name in job.names}
     if done.returncode != 0 and all(complete.values()):
         complete = dict.fromkeys(job.names, False)
@@ -183,7 +183,7 @@
 
 
 def main() -> int:
-    """Run the features that are named, or all; return the exit code."""
+    """Run the given feature files, or all; return the exit code."""
     named = [Path(name).resolve() for name in sys.argv[1:]]
     paths = named or sorted((ROOT / "features").glob("*.feature"))
     outcomes = run_jobs(find_jobs(paths))
--- a/features/soak/fault_workers.py
+++ b/features/soak/fault_workers.py
@@ -26,22 +26,22 @@
         self._record = record
         resource_locks = ResourceLocks()
         self._rngs = [random.Random(f"{seed}/faults/{number}") for number in range(count)]
-        self._injectors = [
+        self._faults = [
             FaultInjector(world, record, resource_locks, disks, rng) for rng in self._rngs
         ]
         self.injected: Counter[str] = Counter()
 
     def do_planned_work_until(self, end: float) -> None:
         """Inject planned operations only until a time of the monotonic clock."""
-        self._run(sorted(self._injectors[0].planned), end)
+        self._run(sorted(self._faults[0].planned), end)
 
     def inject_until(self, end: float) -> None:
         """Inject faults of all kinds until a time of the monotonic clock; return once healed."""
-        self._run(sorted({**self._injectors[0].planned, **self._injectors[0].unplanned}), end)
+        self._run(sorted({**self._faults[0].planned, **self._faults[0].unplanned}), end)
 
     def _run(self, names: list[str], end: float) -> None:
-        numbers = range(len(self._injectors))
-        with ThreadPoolExecutor(len(self._injectors)) as pool:
+        numbers = range(len(self._faults))
+        with ThreadPoolExecutor(len(self._faults)) as pool:
             running = [
                 pool.submit(self._inject_repeatedly, number, names, end) for number in numbers
             ]
@@ -54,7 +54,7 @@
             name = rng.choice(names)
             injected[name] += 1
             try:
-                self._injectors[number].inject(name)
+                self._faults[number].inject(name)
             except AssertionError as error:
                 self._record.note_violation(f"RECOVER: {error}")
             time.sleep(rng.uniform(0.05, 0.8))
--- a/features/soak/faults.py
+++ b/features/soak/faults.py
@@ -99,7 +99,7 @@
         if name in self.planned:
             self.planned[name]()
         elif name == _REPLICA_WIPED:
-            # It waits until the disk lost before is copied, and counts as a fault only from then on.
+            # It waits until the previous lost disk is copied, and counts as a fault only then.
             self._wipe_disk()
         else:
             with self._disruptions.unplanned(name):
@@ -164,7 +164,7 @@
             self._world.restart(name)
 
     def _tear_log(self) -> None:
-        """Append a torn frame to the log, as a power failure does."""
+        """Append half a frame to the log, as a power failure does."""
         with self._resource_locks.lock_any(self._world.replicas, self._rng) as name:
             if name is None:
                 return
--- a/features/soak/planned/run.py
+++ b/features/soak/planned/run.py
@@ -35,7 +35,7 @@
     """Result of a seed.
 
     :param served: number of attempts with a complete successful response.
-    :param outcomes: number of attempts by status; 0 means that the connection ended without a response.
+    :param outcomes: number of attempts by status; 0 if the connection ended without a response.
     :param refused: number of refusals by status and reason, with ``#`` for numbers.
     :param broken_off: number of responses that gateways aborted, by reason likewise.
     :param cuts: requests that were cut, each with the log lines about it.
--- a/features/soak/run.py
+++ b/features/soak/run.py
@@ -25,7 +25,7 @@
     """Result of a seed.
 
     :param served: number of attempts with a complete successful response.
-    :param outcomes: number of attempts by status; 0 means that the connection ended without a response.
+    :param outcomes: number of attempts by status; 0 if the connection ended without a response.
     :param faults: number of injected faults by kind.
     :param finals: result of each final fault.
     :param late_s: largest scheduling delay of a thread in this process, which also runs the
--- a/features/steps/planned_soak_steps.py
+++ b/features/steps/planned_soak_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the soak of planned work alone and its check."""
+"""Steps about the soak test of planned operations and its checks."""
 
 import random
 import tempfile
@@ -25,14 +25,14 @@
 GATEWAY = "edge-0"
 KEPT_LOGS = Path(tempfile.gettempdir()) / "yarrowwall-soak"
 KINDS_OF_CHANGES = Content(random.Random()).changes.keys()
-#: When the attempt is sent, and the times of its route.
+#: Time at which the attempt is sent, and the timeouts of its route.
 SENT_AT = 100.0
 DEFAULT_S = DEFAULT_TIMEOUT_MS / 1000.0
 SHORTER_S = DEFAULT_S / 2.0
 ALWAYS_DEFAULT: Timeouts = [(0.0, {CHAT: DEFAULT_S})]
 RAISED: Timeouts = [(0.0, {CHAT: SHORTER_S}), (SENT_AT + 1.0, {CHAT: DEFAULT_S})]
 LOWERED: Timeouts = [(0.0, {CHAT: DEFAULT_S}), (SENT_AT + 1.0, {CHAT: SHORTER_S})]
-#: A longer time that was written before the shorter one was over.
+#: A longer timeout that was written before the shorter one had expired.
 WRITTEN = [
     WrittenTimeouts(1, 0.0, {CHAT: SHORTER_S}),
     WrittenTimeouts(2, SENT_AT + 1.0, {CHAT: DEFAULT_S}),
@@ -57,7 +57,7 @@
 def ended(
     lasted_s: float, status: int = 200, is_whole: bool = False, is_at_server: bool = True
 ) -> Callable[[Record], None]:
-    """Return what lets an attempt end after some seconds."""
+    """Return a function that records the end of an attempt after some seconds."""
 
     def note(record: Record) -> None:
         if is_at_server:
@@ -81,22 +81,22 @@
 ENDS: dict[str, tuple[Timeouts, Callable[[Record], None]]] = {
     "was cut within its stream": (ALWAYS_DEFAULT, ended(1.0)),
     "was cut at its server without an answer": (ALWAYS_DEFAULT, ended(1.0, status=0)),
-    "was held and dropped": (ALWAYS_DEFAULT, held_and_dropped),
-    "was cut by a time that was raised meanwhile": (RAISED, ended(SHORTER_S + 0.1)),
-    "was cut by a time that was lowered meanwhile": (LOWERED, ended(SHORTER_S + 0.1)),
-    "was cut by a time that was to be raised before": (NEVER_IN_FORCE, ended(SHORTER_S + 0.1)),
-    "was cut before its gateway knew that its time was raised": (
+    "was queued and dropped": (ALWAYS_DEFAULT, held_and_dropped),
+    "was cut by a timeout that was raised meanwhile": (RAISED, ended(SHORTER_S + 0.1)),
+    "was cut by a timeout that was lowered meanwhile": (LOWERED, ended(SHORTER_S + 0.1)),
+    "was cut by a timeout that had to be raised before": (NEVER_IN_FORCE, ended(SHORTER_S + 0.1)),
+    "was cut before its gateway knew the raised timeout": (
         NOT_IN_FORCE,
         ended(SHORTER_S + 0.1),
     ),
-    "was cut at a gateway that passed over the version with more": (
+    "was cut at a gateway that skipped the version with a longer timeout": (
         SKIPPED,
         ended(SHORTER_S + 0.1),
     ),
     "was answered": (ALWAYS_DEFAULT, ended(1.0, is_whole=True)),
     "was refused": (ALWAYS_DEFAULT, ended(1.0, status=503, is_whole=True, is_at_server=False)),
     "was cut at its deadline": (ALWAYS_DEFAULT, ended(DEADLINE_S)),
-    "was cut at its route's time": (ALWAYS_SHORTER, ended(SHORTER_S)),
+    "was cut at its route's timeout": (ALWAYS_SHORTER, ended(SHORTER_S)),
     "was broken off by its server": (ALWAYS_DEFAULT, broken_off),
     "was sent over a connection that was just closed": (
         ALWAYS_DEFAULT,
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the randomized soak and its own checks."""
+"""Steps about the randomized soak test and its checks."""
 
 import signal
 import socket
@@ -22,16 +22,16 @@
 from features.support.processes import wait_until
 
 CLIENTS = 4
-#: Where the logs of a seed that broke a promise go.
+#: Folder for the logs of a seed that violated a guarantee.
 KEPT_LOGS = Path(tempfile.gettempdir()) / "yarrowwall-soak"
 BUDGET = 20
 GATEWAY = "edge-0"
 REPLICA = "storage-0"
-#: Seconds that a group has to be whole again: it takes about 2 s.
+#: Seconds within which a group must be complete again; it takes about 2 s.
 GROUP_S = 10.0
 
 
-@then("{seconds:d} s of the soak with seed {seed:d} break no promise")
+@then("{seconds:d} s of the soak with seed {seed:d} violate no guarantee")
 def soak_holds(context: Context, seconds: int, seed: int) -> None:
     result = play(seed, float(seconds), CLIENTS, keep=KEPT_LOGS)
     assert not result.violations, result
@@ -50,9 +50,9 @@
 
 
 def cut(record: Record, status: int = 0, lasted_s: float = 0.1, after_s: float = 0.0) -> None:
-    """Let planned work on its gateway cut an attempt.
+    """Record an attempt that was cut by a planned operation on its gateway.
 
-    :param after_s: seconds after now when it was sent.
+    :param after_s: seconds from now until it is sent.
     """
     with record.disruptions.planned(GATEWAY, after_s):
         sent_at = time.monotonic() + after_s
@@ -96,7 +96,7 @@
 
 
 class AnsweringClient(Client):
-    """A client whose attempts all get one status."""
+    """A client whose attempts all get the same status."""
 
     def __init__(self, status: int) -> None:
         self._status = status
@@ -111,7 +111,7 @@
 
 
 def send_to(record: Record, answer: Callable[[QuietHandler], None], attempts: int) -> None:
-    """Send attempts to a gateway with a script, over connections that a client keeps."""
+    """Send attempts to a scripted gateway over persistent connections."""
 
     class Handler(QuietHandler):
         def do_POST(self) -> None:
@@ -124,7 +124,7 @@
         with Client(world, record) as client:
             for _ in range(attempts):
                 client.send(GATEWAY, LOOKUP, "a", b"body", {})
-                # What comes behind an answer is to be there when the next attempt is sent.
+                # Bytes after a response must have arrived before the next attempt is sent.
                 time.sleep(0.1)
     finally:
         gateway.shutdown()
@@ -147,23 +147,23 @@
     "was answered": answered,
     "ran twice": lambda record: [answered(record), answered(record)],
     "was refused and ran": lambda record: refused(record, 503),
-    "was told that its budget is spent, ran": lambda record: refused(record, 402),
+    "was refused for its spent budget and ran": lambda record: refused(record, 402),
     "ran with another body": lambda record: record.note_started("a", b"other"),
-    "nobody sent": lambda record: record.note_started("b", b"body"),
+    "no client sent": lambda record: record.note_started("b", b"body"),
     "emitted more than the budget": lambda record: answered(record, events=8),
     "was at a server when a planned stop cut it": cut_at_server,
-    "was held when a planned stop cut it": cut_while_queued,
+    "was queued when a planned stop cut it": cut_while_queued,
     "was half answered when a planned stop cut it": lambda record: cut(record, 200),
-    "goes on and reached no server": went_on,
-    "goes on and got 404": lambda record: go_on(record, 404),
-    "goes on and got 410": lambda record: go_on(record, 410),
+    "continues a turn and reached no server": went_on,
+    "continues a turn and got 404": lambda record: go_on(record, 404),
+    "continues a turn and got 410": lambda record: go_on(record, 410),
     "got the answer of another": lambda record: send_to(
         record, lambda call: call.answer(200, b"record", {"X-Attempt-Id": "b"}), 1
     ),
-    "was sent behind bytes that nobody waited for": lambda record: send_to(
+    "was sent after unexpected bytes": lambda record: send_to(
         record, answer_with_extra_response, 2
     ),
-    "was cut by a planned stop beside a fault": cut_during_fault,
+    "was cut by a planned stop during a fault": cut_during_fault,
     "was cut by a planned stop soon after a fault": lambda record: cut_after_fault(
         record, SETTLE_S / 2.0
     ),
@@ -171,8 +171,8 @@
         record, SETTLE_S * 2.0
     ),
     "was broken off by its server in a planned stop": cut_by_server,
-    "met a planned stop unread": cut,
-    "went on and reached a server": went_on_and_reached,
+    "was unread at a planned stop": cut,
+    "continued a turn and reached a server": went_on_and_reached,
     "was sent over a connection that was closed": lambda record: send_to(record, answer_and_end, 2),
 }
 
@@ -264,15 +264,15 @@
         world.restart(REPLICA)
 
 
-@then("its group is whole again")
+@then("its group is complete again")
 def group_whole(context: Context) -> None:
     context.disks.wait_copied(context.loss, fault=0)
 
 
-@then("its group is not whole again")
+@then("its group is not complete again")
 def group_not_whole(context: Context) -> None:
     try:
         group_whole(context)
     except AssertionError:
         return
-    raise AssertionError("the lost disk was not seen")
+    raise AssertionError("the lost disk was not detected")
--- a/features/support/processes.py
+++ b/features/support/processes.py
@@ -1,4 +1,4 @@
-"""Starts nodes and stand-ins as processes of their own, on loopback."""
+"""Starts nodes and test servers as separate processes on loopback."""
 
 import fcntl
 import itertools
@@ -28,21 +28,21 @@
         time.sleep(0.02)
 
 
-#: Ports of the machines that scenarios start. The kernel hands out those from 32768 on to
-#: connections, so an address there that was free may be taken before its process listens.
+#: Ports of the machines that scenarios start. The kernel uses ports from 32768 on for outgoing
+#: connections, so a free one there may be taken before the machine listens on it.
 FIRST_PORT, LAST_PORT = 10_000, 32_000
-#: Environment variable with the place that this process should have among those that run
-#: scenarios at once, and how many ports each of them has.
+#: Environment variable with the number of the preferred port range of this process, and the size
+#: of a range. Processes that run scenarios concurrently use different ranges.
 PORT_RANGE_VARIABLE = "YARROWWALL_TEST_PLACE"
 PORTS_PER_RANGE = 1_000
 _RANGE_COUNT = (LAST_PORT - FIRST_PORT) // PORTS_PER_RANGE
 
 
 def _acquire_port_range(first: int) -> int:
-    """Return a place that no other process has, the first one from a given one on.
+    """Reserve the first port range from a given one on that no other process uses.
 
-    It is kept by a locked file for as long as this process runs, so that runs of several
-    checkouts beside each other share no port.
+    A locked file reserves it for the lifetime of this process, so that concurrent runs of several
+    checkouts share no ports.
     """
     for port_range in range(first, first + _RANGE_COUNT):
         lock = Path(tempfile.gettempdir()) / f"yarrowwall-test-place-{port_range % _RANGE_COUNT}"
@@ -53,11 +53,11 @@
             os.close(descriptor)
         else:
             return port_range % _RANGE_COUNT
-    raise AssertionError("all places for ports are taken")
+    raise AssertionError("all port ranges are in use")
 
 
 def _ports() -> Iterator[int]:
-    """Return the ports of this process, again and again."""
+    """Yield the ports of this process in an endless cycle."""
     port_range = _acquire_port_range(
         int(os.environ.get(PORT_RANGE_VARIABLE, os.getpid())) % _RANGE_COUNT
     )
@@ -69,7 +69,7 @@
 
 
 def free_addresses(count: int) -> list[str]:
-    """Return loopback addresses that nobody listens on, each at most once in a long while."""
+    """Return loopback addresses without a listener; a port recurs only after its whole range."""
     found: list[str] = []
     while len(found) < count:
         port = next(_own_ports)
@@ -82,7 +82,7 @@
 
 
 class System:
-    """Platform, engines, record servers, tool and nodes, each a process."""
+    """Platform, engines, record servers, tool server and nodes, each as a process."""
 
     def __init__(self, engine_speed: float = 4.0, nodes: int = 3, engines: int = 3) -> None:
         self._folder = tempfile.TemporaryDirectory()
@@ -185,7 +185,7 @@
         return f"http://{self.http_addresses[number]}"
 
     def is_ready(self, number: int) -> bool:
-        """Return whether a node serves and has heard from every engine."""
+        """Return whether a node is healthy and knows the models of every engine."""
         try:
             status = self.pool.request("GET", self.url(number) + "/v1/operator/status").json()
             health = self.pool.request("GET", self.url(number) + "/healthz")
@@ -222,7 +222,7 @@
         )
 
     def engine_state(self) -> list[dict]:
-        """Return what every engine ran and holds."""
+        """Return the state of every engine."""
         return [
             self.pool.request("GET", f"http://{address}/state").json()
             for address in self.engine_addresses
@@ -234,7 +234,7 @@
         return sorted(start for start in found if start.startswith(program + "/"))
 
     def stop(self) -> None:
-        """End every process this system started."""
+        """Kill all processes of this system."""
         for process in self.processes.values():
             process.kill()
         for process in self.processes.values():
