--- a/features/mixed_releases.feature
+++ b/features/mixed_releases.feature
@@ -1,7 +1,7 @@
-Feature: A message that a machine cannot read costs no more than it has to
-  Machines are replaced one by one, so some run a later release than others and may send messages
-  that these do not know. Such a message is dropped and told; the connection goes on. What breaks
-  the framing or a known message's schema ends its connection, and the log says why.
+Feature: A message that a machine cannot read is dropped without further effects
+  During an upgrade some machines run a later release and may send messages that others do not know.
+  Such a message is dropped and logged, and the connection stays open. Invalid frames and known
+  messages that violate their schema close the connection, and the reason is logged.
 
   Scenario: A request of a later release among known ones
     Given a replica that logs what it cannot read
@@ -9,14 +9,14 @@
     Then both known requests are answered on that connection
     And its log has 1 line "MessageDropped" with "type code 65000" of that peer
 
-  Scenario: A later release that asks again and again fills no log
+  Scenario: Repeated requests of a later release do not flood the log
     Given a replica that logs what it cannot read
     When a peer sends it 300 requests of a later release within 2.5 s
     Then its log has a line "MessageDropped" for each second at most
-    And with those left out 300 messages were counted
+    And with the omitted lines 300 messages were counted
     And a known request is answered on that connection
 
-  Scenario Outline: What is no message closes its connection: <what>
+  Scenario Outline: An invalid message closes its connection: <what>
     Given a replica that logs what it cannot read
     And another peer that is connected
     When a peer sends it <what>
@@ -30,7 +30,7 @@
       | a known message cut short    | AskStatus              |
       | a frame without a type code  | shorter than a type    |
 
-  Scenario: A fault of the program in answering a request is told
+  Scenario: An exception while a request is answered is logged
     Given a replica that logs what it cannot read
     And another peer that is connected
     When it fails on a peer's request
@@ -38,10 +38,10 @@
     And its log has 1 line "InternalFault" whose trace has "KeyError"
     And the other peer's known request is answered on its connection
 
-  Scenario Outline: A neighbour is asked to pass on what it cannot read: <what>
+  Scenario Outline: A neighbour refuses to forward a request that it cannot read: <what>
     Given a neighbour that logs what it cannot read
-    When gateway "edge-9" asks it to pass on <what>
-    Then it refuses that
+    When gateway "edge-9" asks it to forward <what>
+    Then it refuses to forward it
     And its log has 1 line "MessageDropped" with "<reason>" from "edge-9"
 
     Examples:
@@ -49,9 +49,9 @@
       | a request of a later release | type code 65000 |
       | a request cut short          | AskStatus       |
 
-  Scenario Outline: A neighbour brings an answer that cannot be read: <what>
-    Given a gateway that goes through neighbour "edge-9" and logs what it cannot read
-    When the neighbour brings <what>
+  Scenario Outline: A neighbour returns an answer that cannot be read: <what>
+    Given a gateway that sends through neighbour "edge-9" and logs what it cannot read
+    When the neighbour returns <what>
     Then the request has no answer from it
     And its log has 1 line "MessageDropped" with "<reason>" from "edge-9"
 
@@ -62,13 +62,13 @@
 
   Scenario: An answer of a later release among known ones
     Given a link to a replica of a later release
-    When two requests are under way and another one's answer is of a later release
+    When two requests are in flight and another one's answer is of a later release
     Then both requests are answered
     And the other one has no answer in time
     And the link has had 1 connection
     And the link's log has 1 line "MessageDropped" with "type code 65000"
 
-  Scenario: Answers of a later release are no silence
+  Scenario: Answers of a later release show that the link is alive
     Given a link to a replica of a later release
     When all answers are of a later release for 2.5 s
     Then no request was answered
@@ -76,7 +76,7 @@
 
   Scenario: An answer that cannot be read ends its connection
     Given a link to a replica of a later release
-    When two requests are under way and another one's answer is cut short
+    When two requests are in flight and another one's answer is cut short
     Then all three end without an answer within 0.3 s
     And the link's log has 1 line "PeerConnectionClosed" with "StatusReply"
     And a new request is answered
--- a/features/steps/mixed_release_steps.py
+++ b/features/steps/mixed_release_steps.py
@@ -1,4 +1,4 @@
-"""Steps about messages between machines that one of them cannot read."""
+"""Steps about messages that their receiver cannot read."""
 
 import contextlib
 import json
@@ -26,22 +26,22 @@
 from yarrowwall.replication.rpc import Link, serve_requests
 
 ANSWER = StatusReply("storage-0", "disk", 1, True, 1)
-#: What a later release may send: a type code that no message has yet, and some body.
+#: A message of a later release: a type code that is not yet in use, and a body.
 UNKNOWN_MESSAGE = struct.pack(">H", 65000) + b"later"
 HEADER = struct.Struct(">II")
-#: Groups that are asked about: by two requests that stay under way, and by another one.
+#: Groups of the requests: two requests that stay in flight, and another one.
 GROUPS = FIRST, SECOND, OTHER = (0, 1, 2)
-#: The group at whose question the replica fails.
+#: The group for which the replica raises an exception.
 FAILING = 9
-#: Time-out of a request, and the time that the machines of a scenario get to act.
+#: Timeout of a request, and the maximum wait for an expected event.
 TIMEOUT_S = 0.15
 MAX_WAIT_S = 2.0
 
 
 class _LogLines:
-    """A log and the lines that it wrote.
+    """A decision log and the lines that it wrote.
 
-    :ivar counted: every decision, written or not.
+    :ivar decisions: all decisions, written or not.
     """
 
     def __init__(self, context: Context) -> None:
@@ -53,13 +53,13 @@
         self.log = DecisionLog("storage-0", self.decisions.append, descriptor)
 
     def of(self, kind: str) -> list[dict[str, Any]]:
-        """Return the lines of a kind."""
+        """Return the lines of the given kind."""
         lines = [json.loads(line) for line in self._path.read_text().splitlines()]
         return [line for line in lines if line["kind"] == kind]
 
 
 class _Peer:
-    """A connection that sends what it is told to."""
+    """A scripted connection to the replica under test."""
 
     def __init__(self, context: Context, address: tuple[str, int]) -> None:
         self._socket = green_socket.create_connection(address, MAX_WAIT_S)
@@ -72,7 +72,7 @@
         self._socket.sendall(HEADER.pack(size, number) + body)
 
     def answered(self, count: int) -> list[int]:
-        """Return the numbers of the next frames that come."""
+        """Return the numbers of the next frames, each of which must hold the answer."""
         numbers = []
         for _ in range(count):
             length, number = HEADER.unpack(self._read(HEADER.size))
@@ -106,7 +106,7 @@
 
 
 def _assert_line(lines: _LogLines, count: int, kind: str, reason: str) -> list[str]:
-    """Return the peers of a kind's lines."""
+    """Wait for the lines of a kind, check their reason and return their peers."""
     _wait_until(lambda: len(lines.of(kind)) >= count)
     found = lines.of(kind)
     assert len(found) == count, found
@@ -114,7 +114,7 @@
     return [line["peer"] for line in found]
 
 
-# A replica that is asked
+# A replica that receives requests
 
 
 def _answer(request: object, reply: Callable[[object], None]) -> None:
@@ -173,9 +173,9 @@
     assert 2 <= len(seconds) == len(set(seconds)), seconds
 
 
-@then("with those left out {count:d} messages were counted")
+@then("with the omitted lines {count:d} messages were counted")
 def all_counted(context: Context, count: int) -> None:
-    # What was left out is told with the first line of a later second.
+    # The number of omitted lines is logged with the first line of a later second.
     eventlet.sleep(1.0)
     context.peer.send(count + 1, UNKNOWN_MESSAGE)
     _wait_until(lambda: len(context.lines.decisions) == count + 1)
@@ -240,7 +240,7 @@
     context.forwarder = ForwardHandler(_relayed_links(context), lambda address: True)
 
 
-@when('gateway "{name}" asks it to pass on {what}')
+@when('gateway "{name}" asks it to forward {what}')
 def asks_to_forward(context: Context, name: str, what: str) -> None:
     body = {
         "a request of a later release": UNKNOWN_MESSAGE,
@@ -250,18 +250,18 @@
     context.forwarder.handle(Forward(name, "127.0.0.1:9", body[what]), context.replies.append)
 
 
-@then("it refuses that")
+@then("it refuses to forward it")
 def refuses(context: Context) -> None:
     assert context.replies == [Forwarded(ForwardStatus.REFUSED, b"")], context.replies
 
 
-@given('a gateway that goes through neighbour "{name}" and logs what it cannot read')
+@given('a gateway that sends through neighbour "{name}" and logs what it cannot read')
 def gateway_with_neighbour(context: Context, name: str) -> None:
     context.links = _relayed_links(context)
     context.neighbour = Neighbour(name, "zone-a", "127.0.0.1:9")
 
 
-@when("the neighbour brings {what}")
+@when("the neighbour returns {what}")
 def neighbour_answers(context: Context, what: str) -> None:
     body = {
         "an answer of a later release": UNKNOWN_MESSAGE,
@@ -285,9 +285,9 @@
 
 
 class _LaterReleaseReplica:
-    """Answers the frames of a link with bytes that a scenario chooses.
+    """Answers the frames of a link with bytes that the scenario chooses.
 
-    :ivar body_of: returns the answer to a group's question; None for none yet.
+    :ivar body_of: returns the answer for a group; None to delay it.
     """
 
     def __init__(self, context: Context) -> None:
@@ -302,7 +302,7 @@
         context.add_cleanup(accepting.kill)
 
     def answer_waiting(self) -> None:
-        """Answer what had no answer yet."""
+        """Answer the requests whose answers were delayed."""
         waiting, self._waiting = self._waiting, []
         for connection, number in waiting:
             self._answer(connection, number, encode(ANSWER))
@@ -342,7 +342,7 @@
     assert context.link.call(AskStatus(FIRST), TIMEOUT_S) == ANSWER
 
 
-@when("two requests are under way and another one's answer is {what}")
+@when("two requests are in flight and another one's answer is {what}")
 def requests_in_flight(context: Context, what: str) -> None:
     other = {"of a later release": UNKNOWN_MESSAGE, "cut short": encode(ANSWER)[:4]}[what]
     context.replica.body_of = lambda group: other if group == OTHER else None
