--- a/features/environment.py
+++ b/features/environment.py
@@ -23,7 +23,7 @@
 
 
 def before_scenario(context: Context, scenario: Scenario) -> None:
-    """Start the processes that the scenario's tags ask for."""
+    """Start the processes that the scenario's tags name."""
     context.own_system = System() if "own_system" in scenario.effective_tags else None
     if context.own_system is not None:
         context.system = context.own_system
--- a/features/freshness.feature
+++ b/features/freshness.feature
@@ -32,7 +32,7 @@
     Given tenants "alloy" with key "key-a" and "ore" with key "key-o"
     And a route "records" of type "mutating" with a server
     And a public route "notices" with a server
-    When the store is out of reach
+    When the store is unreachable
     Then a client with key "key-a" gets 200 on "records" for 2.5 s
     And a client with key "key-a" gets 503 on "records" within 5.5 s of the outage
     And the answer is 503 with Retry-After
@@ -93,6 +93,6 @@
   Scenario: A gateway whose configuration is too old rejects no key or route as unknown
     Given tenants "alloy" with key "key-a" and "ore" with key "key-o"
     And a route "records" of type "mutating" with a server
-    When the store is out of reach
+    When the store is unreachable
     Then a client with key "key-unknown" gets 503 on "records" within 3.5 s of the outage
     And a client with key "key-a" gets 503 on "elsewhere" within 3.5 s of the outage
--- a/features/start_and_retries.feature
+++ b/features/start_and_retries.feature
@@ -93,19 +93,19 @@
       | stream     | lost its connection by process_ended      | connection ended before its answer |
 
   Scenario Outline: A conversation that reached no server is reported with its cause
-    Given the log of a turn that goes on from an earlier one and <end>
+    Given the log of a turn that continues an earlier one and <end>
     Then the conversations name its program with "<cause>"
 
     Examples:
       | end                                       | cause                                               |
-      | whose turn before is unknown              | the turn before is unknown                          |
-      | whose turns before could not be read      | the turns before could not be read                  |
-      | whose group is out of reach               | the turns before could not be read                  |
-      | for which there is no room                | refused for want of room, its turns were read       |
+      | whose previous turn is unknown            | the turn before is unknown                          |
+      | whose previous turns could not be read    | the turns before could not be read                  |
+      | whose group is unreachable                | the turns before could not be read                  |
+      | for which there is no capacity            | refused for want of room, its turns were read       |
       | which no server took                      | refused for another reason, its turns were read     |
 
   Scenario: A conversation that reached a server in a later try is not reported as unserved
-    Given the log of a turn that goes on from an earlier one and for which there is no room
+    Given the log of a turn that continues an earlier one and for which there is no capacity
     And it was sent in its second try
     Then the conversations name no program
 
--- a/features/steps/room_steps.py
+++ b/features/steps/admission_steps.py
@@ -630,7 +630,7 @@
 
 
 def continue_conversation(context: Context, gateway: int) -> list[Answer]:
-    """Continue the conversation under a new program; retry when told to."""
+    """Continue the conversation under a new program; retry after ``Retry-After``."""
     headers = {"X_Previous_Turn": context.previous}
     tries: list[Answer] = []
     while len(tries) < MAX_TRIES:
--- a/features/steps/connection_end_steps.py
+++ b/features/steps/connection_end_steps.py
@@ -146,7 +146,7 @@
 
 
 def wait_logged(context: Context, expected: list[str]) -> None:
-    wait_until(lambda: len(logged_reasons(context)) >= len(expected), f"{expected} is told")
+    wait_until(lambda: len(logged_reasons(context)) >= len(expected), f"{expected} is logged")
     time.sleep(SETTLE_SECONDS)
     assert logged_reasons(context) == expected, logged_reasons(context)
 
--- a/features/steps/freshness_steps.py
+++ b/features/steps/freshness_steps.py
@@ -106,7 +106,7 @@
     context.outage_at = time.monotonic()
 
 
-@when("the store is out of reach")
+@when("the store is unreachable")
 def store_down(context: Context) -> None:
     world(context).store.is_down = True
     begin_outage(context)
--- a/features/steps/platform_program_steps.py
+++ b/features/steps/platform_program_steps.py
@@ -77,7 +77,9 @@
 
 @then("its next turn of at most 40 tokens gets 402")
 def next_refused(context: Context) -> None:
-    wait_until(lambda: turn(context, "talk", "spender", 100, 1).status != 503, "the store can tell")
+    wait_until(
+        lambda: turn(context, "talk", "spender", 100, 1).status != 503, "the record store answers"
+    )
     assert turn(context, "talk", "spender", 100, 1).status == 402
 
 
@@ -90,7 +92,7 @@
         context.answers = [turn(context, "chat", "talker", 10_000, gateway, text=text, **headers)]
         return context.answers[0].status != 503
 
-    wait_until(run, "the store can tell")
+    wait_until(run, "the record store answers")
     (answer,) = context.answers
     assert answer.status == 200 and answer.is_whole, answer
     context.turns.append(answer.headers["X-Attempt-Id"])
--- a/features/steps/slow_reader_steps.py
+++ b/features/steps/slow_reader_steps.py
@@ -273,7 +273,7 @@
         lines = world(context).log("edge-0")
         return sum(line["kind"] == "CallerGivenUp" for line in lines)
 
-    wait_until(lambda: given_up() == 1, "one caller is told to be given up")
+    wait_until(lambda: given_up() == 1, "one caller is logged as given up")
 
 
 @when(
--- a/features/steps/start_steps.py
+++ b/features/steps/start_steps.py
@@ -335,10 +335,10 @@
 
 
 _CONVERSATION_ENDS = {
-    "whose turn before is unknown": ("unknown", 404, "no turn t0"),
-    "whose turns before could not be read": ("uncertain", 503, "group 0: 1 of 2 answered"),
-    "whose group is out of reach": (None, 503, "group 0 is out of reach"),
-    "for which there is no room": (
+    "whose previous turn is unknown": ("unknown", 404, "no turn t0"),
+    "whose previous turns could not be read": ("uncertain", 503, "group 0: 1 of 2 answered"),
+    "whose group is unreachable": (None, 503, "group 0 is out of reach"),
+    "for which there is no capacity": (
         "fetched",
         503,
         f"{NO_CAPACITY} a new program: places, 3 of 9 waiting go before",
@@ -347,7 +347,7 @@
 }
 
 
-@given("the log of a turn that goes on from an earlier one and {end}")
+@given("the log of a turn that continues an earlier one and {end}")
 def conversation_log(context: Context, end: str) -> None:
     outcome, status, reason = _CONVERSATION_ENDS[end]
     admitted = {"attempt": "a1", "program": "p1", "route": "r", "previous": "t0"}
--- a/features/steps/zone_world_steps.py
+++ b/features/steps/zone_world_steps.py
@@ -151,7 +151,7 @@
         time.sleep(0.2)
 
 
-@then("the metrics of zone {zone:d} tell of turns that it served alone and kept")
+@then("the metrics of zone {zone:d} count the turns that it served alone and kept")
 def zone_metrics(context: Context, zone: int) -> None:
     host, _, port = world(context).addresses[f"edge-{zone}"]["metrics"].partition(":")
     connection = http.client.HTTPConnection(host, int(port), timeout=5.0)
--- a/features/zone_cuts.feature
+++ b/features/zone_cuts.feature
@@ -117,7 +117,7 @@
     And a conversation goes on for two turns in zone 0
     And a conversation of 2 turns begins in zone 0
     Then zone 0 is ready
-    And the metrics of zone 0 tell of turns that it served alone and kept
+    And the metrics of zone 0 count the turns that it served alone and kept
     And a turn in zone 1 that goes on from that conversation gets 503
     And the program with 200 tokens gets no more than its budget in all zones
     When zone 0 is no longer cut off
