--- a/features/steps/admission_steps.py
+++ b/features/steps/admission_steps.py
@@ -652,7 +652,7 @@
 
 
 @then("at least the first {count:d} of them got complete answers")
-def first_whole(context: Context, count: int) -> None:
+def first_complete(context: Context, count: int) -> None:
     statuses = [answer.status for answer in context.answers]
     assert all(answer.is_whole for answer in context.answers), statuses
     assert statuses[:count] == [200] * count, statuses
@@ -698,6 +698,6 @@
 
 
 @then("they all got complete answers")
-def all_whole(context: Context) -> None:
+def all_complete(context: Context) -> None:
     found = [(answer.status, answer.is_whole) for answer in context.answers]
     assert found == [(200, True)] * len(found), found
--- a/features/steps/failure_steps.py
+++ b/features/steps/failure_steps.py
@@ -106,7 +106,7 @@
 
 
 @then("every answer is whole")
-def answers_whole(context: Context) -> None:
+def answers_complete(context: Context) -> None:
     for caller in context.callers:
         caller.join(60)
         assert caller.is_whole(), (caller.node, caller.received[-200:])
--- a/features/steps/planned_soak_steps.py
+++ b/features/steps/planned_soak_steps.py
@@ -68,7 +68,7 @@
     return note
 
 
-def held_and_dropped(record: Record) -> None:
+def queued_and_dropped(record: Record) -> None:
     record.note_admitted(["a"])
     ended(2 * LOSS_SLACK_S, status=0, is_at_server=False)(record)
 
@@ -81,7 +81,7 @@
 ENDS: dict[str, tuple[Timeouts, Callable[[Record], None]]] = {
     "was cut within its stream": (ALWAYS_DEFAULT, ended(1.0)),
     "was cut at its server without an answer": (ALWAYS_DEFAULT, ended(1.0, status=0)),
-    "was queued and dropped": (ALWAYS_DEFAULT, held_and_dropped),
+    "was queued and dropped": (ALWAYS_DEFAULT, queued_and_dropped),
     "was cut by a timeout that was raised meanwhile": (RAISED, ended(SHORTER_S + 0.1)),
     "was cut by a timeout that was lowered meanwhile": (LOWERED, ended(SHORTER_S + 0.1)),
     "was cut by a timeout that had to be raised before": (NEVER_IN_FORCE, ended(SHORTER_S + 0.1)),
--- a/features/steps/platform_stream_steps.py
+++ b/features/steps/platform_stream_steps.py
@@ -112,14 +112,14 @@
 
 @then("{count:d} events came whole and in order, the first before the last was made")
 def events_as_made(context: Context, count: int) -> None:
-    events_whole(context, count)
+    events_complete(context, count)
     # The server's thread notes the time after it has sent the end, which may arrive earlier.
     wait_until(lambda: bool(context.made_at), "the server has noted the end")
     assert context.first_at < context.made_at[0] - 0.3
 
 
 @then("{count:d} events came whole and in order")
-def events_whole(context: Context, count: int) -> None:
+def events_complete(context: Context, count: int) -> None:
     (answer,) = context.answers
     assert answer.is_whole, answer
     assert answer.body == b"".join(event(number) for number in range(1, count + 1))
--- a/features/steps/quorum_steps.py
+++ b/features/steps/quorum_steps.py
@@ -198,7 +198,7 @@
 
 
 @given("its last replica is silent and the one of the own zone does not know the view")
-def own_behind(context: Context) -> None:
+def own_replica_behind(context: Context) -> None:
     last_silent(context)
     context.own.view = GroupView(0, 0, context.view.members, [])
 
--- a/features/steps/quota_steps.py
+++ b/features/steps/quota_steps.py
@@ -17,7 +17,7 @@
 WINDOW_S = 5.0
 #: Number of concurrent clients.
 CLIENTS = 8
-MOST_PROGRAMS = 30
+MAX_PROGRAMS = 30
 #: Token budget of a program with several turns.
 BUDGET = 400
 
@@ -127,9 +127,9 @@
 
 @when('programs of "alloy" begin on "{route}" until one is refused')
 def begin_programs(context: Context, route: str) -> None:
-    with ThreadPoolExecutor(MOST_PROGRAMS) as pool:
+    with ThreadPoolExecutor(MAX_PROGRAMS) as pool:
         running = []
-        for number in range(MOST_PROGRAMS):
+        for number in range(MAX_PROGRAMS):
             running.append(pool.submit(ask_turn, context, "key-a", route, f"p-{number}", BUDGET))
             time.sleep(0.05)
         context.begun = [one.result() for one in running]
--- a/features/steps/reader_steps.py
+++ b/features/steps/reader_steps.py
@@ -171,7 +171,7 @@
 
 
 @when("the store turns every reader away")
-def readers_turned_away(context: Context) -> None:
+def readers_rejected(context: Context) -> None:
     for name in READERS:
         world(context).store.turn_away(name)
 
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -86,13 +86,13 @@
     cut_at_server(record)
 
 
-def went_on(record: Record) -> None:
+def continued(record: Record) -> None:
     record.note_continued("t", GATEWAY, ["a"])
 
 
-def went_on_and_reached(record: Record) -> None:
+def continued_and_reached(record: Record) -> None:
     record.note_started("a", b"body")
-    went_on(record)
+    continued(record)
 
 
 class AnsweringClient(Client):
@@ -105,7 +105,7 @@
         return AttemptEnd(self._status, True, b"")
 
 
-def go_on(record: Record, status: int) -> None:
+def continue_turn(record: Record, status: int) -> None:
     program = Program("p", BUDGET, time.monotonic())
     send_turn(AnsweringClient(status), record, GATEWAY, program, "a", Turn("t", b"body"))
 
@@ -154,9 +154,9 @@
     "was at a server when a planned stop cut it": cut_at_server,
     "was queued when a planned stop cut it": cut_while_queued,
     "was half answered when a planned stop cut it": lambda record: cut(record, 200),
-    "continues a turn and reached no server": went_on,
-    "continues a turn and got 404": lambda record: go_on(record, 404),
-    "continues a turn and got 410": lambda record: go_on(record, 410),
+    "continues a turn and reached no server": continued,
+    "continues a turn and got 404": lambda record: continue_turn(record, 404),
+    "continues a turn and got 410": lambda record: continue_turn(record, 410),
     "got the answer of another": lambda record: send_to(
         record, lambda call: call.answer(200, b"record", {"X-Attempt-Id": "b"}), 1
     ),
@@ -172,7 +172,7 @@
     ),
     "was broken off by its server in a planned stop": cut_by_server,
     "was unread at a planned stop": cut,
-    "continued a turn and reached a server": went_on_and_reached,
+    "continued a turn and reached a server": continued_and_reached,
     "was sent over a connection that was closed": lambda record: send_to(record, answer_and_end, 2),
 }
 
@@ -209,7 +209,7 @@
 
 @then("they came over {count:d} connection")
 @then("they came over {count:d} connections")
-def came_over(context: Context, count: int) -> None:
+def arrived_over(context: Context, count: int) -> None:
     assert len(context.callers) == count, context.callers
 
 
@@ -222,7 +222,7 @@
 
 
 @when("a gateway ends by itself")
-def ends_alone(context: Context) -> None:
+def exits_unexpectedly(context: Context) -> None:
     process = context.world.processes[GATEWAY]
     process.kill()
     process.wait()
@@ -265,14 +265,14 @@
 
 
 @then("its group is complete again")
-def group_whole(context: Context) -> None:
+def group_complete(context: Context) -> None:
     context.disks.wait_copied(context.loss, fault=0)
 
 
 @then("its group is not complete again")
-def group_not_whole(context: Context) -> None:
+def group_not_complete(context: Context) -> None:
     try:
-        group_whole(context)
+        group_complete(context)
     except AssertionError:
         return
     raise AssertionError("the lost disk was not detected")
--- a/features/steps/start_steps.py
+++ b/features/steps/start_steps.py
@@ -42,7 +42,7 @@
 
 
 @then("the data can be received once the socket is taken")
-def early_taken(context: Context) -> None:
+def early_socket_taken(context: Context) -> None:
     listener = context.listeners.take(context.address)
     connection, _ = listener.accept()
     assert connection.recv(16) == b"hello"
--- a/features/steps/whole_path_steps.py
+++ b/features/steps/whole_path_steps.py
@@ -83,7 +83,7 @@
 
 
 @when("the openai client makes call {number:d} as a whole at node {node:d}")
-def openai_whole(context: Context, number: int, node: int) -> None:
+def openai_complete(context: Context, number: int, node: int) -> None:
     context.whole = openai_call(context, node, number, stream=False).choices[0].message.content
 
 
