--- a/features/soak/disruptions.py
+++ b/features/soak/disruptions.py
@@ -1,4 +1,4 @@
-"""When what was disrupted: unplanned faults, and planned work on gateways."""
+"""Times of unplanned faults and of planned operations on gateways."""
 
 import math
 import threading
@@ -7,72 +7,75 @@
 from contextlib import contextmanager
 from typing import NamedTuple
 
-#: Seconds for which a machine has to be undisturbed to count as in touch.
-CONTACT_S = 3.0
+#: Seconds without a fault after which machines count as connected again.
+SETTLE_S = 3.0
 
 
 class Span(NamedTuple):
-    """A time of the monotonic clock.
+    """A period on the monotonic clock.
 
-    :param what: the kind of an unplanned fault, or the gateway that planned work is on.
-    :param end: infinite as long as it goes on.
+    :param subject: kind of an unplanned fault, or gateway of a planned operation.
+    :param end: infinite while it lasts.
     """
 
-    what: str
+    subject: str
     begin: float
     end: float
 
-    def meets(self, begin: float, end: float) -> bool:
-        """Return whether this and another time have a moment in common."""
+    def overlaps(self, begin: float, end: float) -> bool:
+        """Return whether this period overlaps another one."""
         return self.begin <= end and begin <= self.end
 
 
 class Disruptions:
-    """Collects what was disrupted when; thread-safe."""
+    """Collects the times of disruptions; thread-safe."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
-        self._numbers = 0
+        self._last_number = 0
         self._unplanned: dict[int, Span] = {}
         self._planned: dict[int, Span] = {}
 
     @contextmanager
     def unplanned(self, kind: str) -> Iterator[int]:
-        """Note a fault until the context is left; its number is given."""
-        with self._noted(self._unplanned, kind) as number:
+        """Record a fault for the duration of the context; yield its number."""
+        with self._noted_span(self._unplanned, kind) as number:
             yield number
 
     @contextmanager
     def planned(self, gateway: str, tail_s: float = 0.0) -> Iterator[int]:
-        """Note planned work on a gateway until some time after the context is left."""
-        with self._noted(self._planned, gateway, tail_s) as number:
+        """Record a planned operation on a gateway, up to some seconds after the context."""
+        with self._noted_span(self._planned, gateway, tail_s) as number:
             yield number
 
     @contextmanager
-    def _noted(self, spans: dict[int, Span], what: str, tail_s: float = 0.0) -> Iterator[int]:
+    def _noted_span(
+        self, spans: dict[int, Span], subject: str, tail_s: float = 0.0
+    ) -> Iterator[int]:
         with self._lock:
-            self._numbers += 1
-            number = self._numbers
-            spans[number] = Span(what, time.monotonic(), math.inf)
+            self._last_number += 1
+            number = self._last_number
+            spans[number] = Span(subject, time.monotonic(), math.inf)
         try:
             yield number
         finally:
             with self._lock:
                 spans[number] = spans[number]._replace(end=time.monotonic() + tail_s)
 
-    def is_disrupted_besides(self, number: int) -> bool:
-        """Return whether a fault goes on other than a given one."""
+    def has_other_fault(self, number: int) -> bool:
+        """Return whether a fault other than the given one is in progress."""
         with self._lock:
             return any(
                 span.end == math.inf for key, span in self._unplanned.items() if key != number
             )
 
-    def is_planned_alone(self, gateway: str, begin: float, end: float) -> bool:
-        """Return whether in a time there was planned work on a gateway and nothing unplanned.
+    def has_only_planned_work(self, gateway: str, begin: float, end: float) -> bool:
+        """Return whether a period had planned operations on a gateway and no unplanned fault.
 
-        Nothing unplanned was to be there in the ``CONTACT_S`` before it either.
+        An unplanned fault in the ``SETTLE_S`` before the period counts as well.
         """
         with self._lock:
             return any(
-                span.what == gateway and span.meets(begin, end) for span in self._planned.values()
-            ) and not any(span.meets(begin - CONTACT_S, end) for span in self._unplanned.values())
+                span.subject == gateway and span.overlaps(begin, end)
+                for span in self._planned.values()
+            ) and not any(span.overlaps(begin - SETTLE_S, end) for span in self._unplanned.values())
--- a/features/soak/turns.py
+++ b/features/soak/turns.py
@@ -1,4 +1,4 @@
-"""Turns of programs, as clients send them and judge their answers."""
+"""Turns of programs: how clients send them and check the responses."""
 
 import threading
 import time
@@ -11,9 +11,10 @@
 
 
 class Turn(NamedTuple):
-    """A turn that was answered whole.
+    """A turn with a complete successful response.
 
-    :param at: when, on the monotonic clock.
+    :param chain: inputs and outputs of the conversation up to and including the turn.
+    :param at: time of the response on the monotonic clock.
     """
 
     attempt: str
@@ -21,15 +22,16 @@
     at: float = 0.0
 
 
-#: What a program's first turn goes on from.
+#: Previous turn of a program's first turn.
 NO_TURN = Turn("", b"")
 
 
 class Program(NamedTuple):
     """A program of turns.
 
-    :param finish_at: when it should be over, on the monotonic clock.
-    :param own_tokens: of its prompt that no other program shares.
+    :param budget: tokens that it may emit.
+    :param finish_at: desired end on the monotonic clock.
+    :param own_tokens: prompt tokens, without the history, that no other program shares.
     """
 
     name: str
@@ -39,43 +41,43 @@
 
 
 class AnsweredTurns:
-    """The turns that were answered whole; thread-safe."""
+    """The turns with a complete successful response; thread-safe."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self._turns: list[Turn] = []
 
     def add(self, turn: Turn) -> None:
-        """Take in a turn."""
+        """Add a turn."""
         with self._lock:
             self._turns.append(turn)
 
     def since(self, at: float) -> list[Turn]:
-        """Return the turns from a moment of the monotonic clock on, the oldest first."""
+        """Return the turns answered since a time of the monotonic clock, oldest first."""
         with self._lock:
             return sorted((turn for turn in self._turns if turn.at >= at), key=lambda one: one.at)
 
 
 def send_turn(
-    client: Client, record: Record, gateway: str, program: Program, attempt: str, before: Turn
+    client: Client, record: Record, gateway: str, program: Program, attempt: str, previous: Turn
 ) -> tuple[Turn | None, int]:
-    """Send a turn; return it if it was answered whole, and the status."""
+    """Send a turn; return it if its response was complete and successful, and the status."""
     body = f"input of {attempt}".encode()
-    expected = before.chain + body
-    record.begin(attempt, expected, program.name)
-    end = client.send(gateway, CHAT, attempt, body, _headers(program, expected, before))
-    if end.status in TURN_UNKNOWN and before.attempt:
-        record.violated(f"LOST: {before.attempt} is unknown to {attempt}, {end.status}")
+    expected = previous.chain + body
+    record.note_attempt(attempt, expected, program.name)
+    end = client.send(gateway, CHAT, attempt, body, _headers(program, expected, previous))
+    if end.status in TURN_UNKNOWN and previous.attempt:
+        record.note_violation(f"LOST: {previous.attempt} is unknown to {attempt}, {end.status}")
     if end.status != 200 or not end.is_whole:
         return None, end.status
     count = events_of(attempt)
     if end.body != b"".join(event(number) for number in range(1, count + 1)):
-        record.violated(f"ORDER: {attempt} got {end.body!r}")
+        record.note_violation(f"ORDER: {attempt} got {end.body!r}")
     output = b"".join(b"piece-%d\n" % number for number in range(1, count + 1))
     return Turn(attempt, expected + output, end.at), end.status
 
 
-def _headers(program: Program, expected: bytes, before: Turn) -> dict[str, str]:
+def _headers(program: Program, expected: bytes, previous: Turn) -> dict[str, str]:
     finish_ms = max(round((program.finish_at - time.monotonic()) * 1000.0), 1)
     own_tokens = program.own_tokens + len(expected)
     headers = {
@@ -86,6 +88,6 @@
         "X-Token-Count": f"{program.own_tokens},{TURN_TOKENS}",
         "X-Prompt-Prefix": f"5eed:1000,{program.name}:{own_tokens}",
     }
-    if before.attempt:
-        headers["X-Previous-Turn"] = before.attempt
+    if previous.attempt:
+        headers["X-Previous-Turn"] = previous.attempt
     return headers
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the randomized soak and its own checks."""
+"""Steps about the randomized soak test and its checks."""
 
 import signal
 import socket
@@ -13,8 +13,8 @@
 
 from features.soak.client import Client
 from features.soak.disks import Disks
-from features.soak.disruptions import CONTACT_S
-from features.soak.promises import LOSS_SLACK_S, Ended, Record, Sent
+from features.soak.disruptions import SETTLE_S
+from features.soak.promises import LOSS_SLACK_S, AttemptEnd, Record, SentRequest
 from features.soak.run import play
 from features.soak.turns import Program, Turn, send_turn
 from features.soak.world import LOOKUP, SoakWorld
@@ -22,16 +22,16 @@
 from features.support.processes import wait_until
 
 CLIENTS = 4
-#: Where the logs of a seed that broke a promise go.
+#: Folder for the logs of a seed that violated a guarantee.
 KEPT_LOGS = Path(tempfile.gettempdir()) / "yarrowwall-soak"
 BUDGET = 20
 GATEWAY = "edge-0"
 REPLICA = "storage-0"
-#: Seconds that a group has to be whole again: it takes about 2 s.
+#: Seconds within which a group must be complete again; it takes about 2 s.
 GROUP_S = 10.0
 
 
-@then("{seconds:d} s of the soak with seed {seed:d} break no promise")
+@then("{seconds:d} s of the soak with seed {seed:d} violate no guarantee")
 def soak_holds(context: Context, seconds: int, seed: int) -> None:
     result = play(seed, float(seconds), CLIENTS, keep=KEPT_LOGS)
     assert not result.violations, result
@@ -39,79 +39,79 @@
 
 
 def answered(record: Record, events: int = 1) -> None:
-    record.arrived("a", b"body")
+    record.note_started("a", b"body")
     body = b"".join(event(number) for number in range(1, events + 1))
-    record.ended("a", Ended(200, True, body))
+    record.note_ended("a", AttemptEnd(200, True, body))
 
 
 def refused(record: Record, status: int) -> None:
-    record.arrived("a", b"body")
-    record.ended("a", Ended(status, True, b""))
+    record.note_started("a", b"body")
+    record.note_ended("a", AttemptEnd(status, True, b""))
 
 
 def cut(record: Record, status: int = 0, lasted_s: float = 0.1, after_s: float = 0.0) -> None:
-    """Let planned work on its gateway cut an attempt.
+    """Record an attempt that was cut by a planned operation on its gateway.
 
-    :param after_s: seconds after now when it was sent.
+    :param after_s: seconds from now until it is sent.
     """
     with record.disruptions.planned(GATEWAY, after_s):
         sent_at = time.monotonic() + after_s
-        record.sent("a", Sent(GATEWAY, sent_at))
-        record.ended("a", Ended(status, False, b"", sent_at + lasted_s))
+        record.note_sent("a", SentRequest(GATEWAY, sent_at))
+        record.note_ended("a", AttemptEnd(status, False, b"", sent_at + lasted_s))
 
 
-def cut_while_held(record: Record) -> None:
-    record.read(["a"])
+def cut_while_queued(record: Record) -> None:
+    record.note_admitted(["a"])
     cut(record, lasted_s=2 * LOSS_SLACK_S)
 
 
 def cut_at_server(record: Record) -> None:
-    record.arrived("a", b"body")
+    record.note_started("a", b"body")
     cut(record)
 
 
-def cut_beside_fault(record: Record) -> None:
+def cut_during_fault(record: Record) -> None:
     with record.disruptions.unplanned("server cut"):
         cut_at_server(record)
 
 
 def cut_after_fault(record: Record, after_s: float) -> None:
     with record.disruptions.unplanned("server cut"):
-        record.arrived("a", b"body")
+        record.note_started("a", b"body")
     cut(record, after_s=after_s)
 
 
 def cut_by_server(record: Record) -> None:
-    record.broke_off("a")
+    record.note_broken_off("a")
     cut_at_server(record)
 
 
-def went_on(record: Record) -> None:
-    record.went_on("t", GATEWAY, ["a"])
+def continued(record: Record) -> None:
+    record.note_continued("t", GATEWAY, ["a"])
 
 
-def went_on_and_reached(record: Record) -> None:
-    record.arrived("a", b"body")
-    went_on(record)
+def continued_and_reached(record: Record) -> None:
+    record.note_started("a", b"body")
+    continued(record)
 
 
 class AnsweringClient(Client):
-    """A client whose attempts all get one status."""
+    """A client whose attempts all get the same status."""
 
     def __init__(self, status: int) -> None:
         self._status = status
 
-    def send(self, *asked: object) -> Ended:
-        return Ended(self._status, True, b"")
+    def send(self, *asked: object) -> AttemptEnd:
+        return AttemptEnd(self._status, True, b"")
 
 
-def go_on(record: Record, status: int) -> None:
+def continue_turn(record: Record, status: int) -> None:
     program = Program("p", BUDGET, time.monotonic())
     send_turn(AnsweringClient(status), record, GATEWAY, program, "a", Turn("t", b"body"))
 
 
 def send_to(record: Record, answer: Callable[[QuietHandler], None], attempts: int) -> None:
-    """Send attempts to a gateway with a script, over connections that a client keeps."""
+    """Send attempts to a scripted gateway over persistent connections."""
 
     class Handler(QuietHandler):
         def do_POST(self) -> None:
@@ -124,14 +124,14 @@
         with Client(world, record) as client:
             for _ in range(attempts):
                 client.send(GATEWAY, LOOKUP, "a", b"body", {})
-                # What comes behind an answer is to be there when the next attempt is sent.
+                # Bytes after a response must have arrived before the next attempt is sent.
                 time.sleep(0.1)
     finally:
         gateway.shutdown()
         gateway.server_close()
 
 
-def answer_surplus(call: QuietHandler) -> None:
+def answer_with_extra_response(call: QuietHandler) -> None:
     call.answer(200, b"record")
     if not hasattr(call.server, "has_answered"):
         call.server.has_answered = True
@@ -143,36 +143,36 @@
     call.close_connection = True
 
 
-BROKEN = {
+ATTEMPTS = {
     "was answered": answered,
     "ran twice": lambda record: [answered(record), answered(record)],
     "was refused and ran": lambda record: refused(record, 503),
-    "was told that its budget is spent, ran": lambda record: refused(record, 402),
-    "ran with another body": lambda record: record.arrived("a", b"other"),
-    "nobody sent": lambda record: record.arrived("b", b"body"),
+    "was refused for its spent budget and ran": lambda record: refused(record, 402),
+    "ran with another body": lambda record: record.note_started("a", b"other"),
+    "no client sent": lambda record: record.note_started("b", b"body"),
     "emitted more than the budget": lambda record: answered(record, events=8),
     "was at a server when a planned stop cut it": cut_at_server,
-    "was held when a planned stop cut it": cut_while_held,
+    "was queued when a planned stop cut it": cut_while_queued,
     "was half answered when a planned stop cut it": lambda record: cut(record, 200),
-    "goes on and reached no server": went_on,
-    "goes on and got 404": lambda record: go_on(record, 404),
-    "goes on and got 410": lambda record: go_on(record, 410),
+    "continues a turn and reached no server": continued,
+    "continues a turn and got 404": lambda record: continue_turn(record, 404),
+    "continues a turn and got 410": lambda record: continue_turn(record, 410),
     "got the answer of another": lambda record: send_to(
         record, lambda call: call.answer(200, b"record", {"X-Attempt-Id": "b"}), 1
     ),
-    "was sent behind bytes that nobody waited for": lambda record: send_to(
-        record, answer_surplus, 2
+    "was sent after unexpected bytes": lambda record: send_to(
+        record, answer_with_extra_response, 2
     ),
-    "was cut by a planned stop beside a fault": cut_beside_fault,
+    "was cut by a planned stop during a fault": cut_during_fault,
     "was cut by a planned stop soon after a fault": lambda record: cut_after_fault(
-        record, CONTACT_S / 2.0
+        record, SETTLE_S / 2.0
     ),
     "was cut by a planned stop long after a fault": lambda record: cut_after_fault(
-        record, CONTACT_S * 2.0
+        record, SETTLE_S * 2.0
     ),
     "was broken off by its server in a planned stop": cut_by_server,
-    "met a planned stop unread": cut,
-    "went on and reached a server": went_on_and_reached,
+    "was unread at a planned stop": cut,
+    "continued a turn and reached a server": continued_and_reached,
     "was sent over a connection that was closed": lambda record: send_to(record, answer_and_end, 2),
 }
 
@@ -180,9 +180,9 @@
 @given('a soak\'s record with an attempt that "{broken}"')
 def broken_record(context: Context, broken: str) -> None:
     context.record = Record()
-    context.record.begin_program("p", BUDGET)
-    context.record.begin("a", b"body", "p")
-    BROKEN[broken](context.record)
+    context.record.note_program("p", BUDGET)
+    context.record.note_attempt("a", b"body", "p")
+    ATTEMPTS[broken](context.record)
 
 
 @then('the record shows only "{promise}"')
@@ -209,7 +209,7 @@
 
 @then("they came over {count:d} connection")
 @then("they came over {count:d} connections")
-def came_over(context: Context, count: int) -> None:
+def arrived_over(context: Context, count: int) -> None:
     assert len(context.callers) == count, context.callers
 
 
@@ -222,11 +222,11 @@
 
 
 @when("a gateway ends by itself")
-def ends_alone(context: Context) -> None:
+def exits_unexpectedly(context: Context) -> None:
     process = context.world.processes[GATEWAY]
     process.kill()
     process.wait()
-    context.world.look_at_ends()
+    context.world.check_all_running()
 
 
 @when("a gateway starts again and gets SIGHUP as soon as it listens")
@@ -237,7 +237,7 @@
     wait_until(lambda: listens(world.addresses[GATEWAY]["http"]), f"{GATEWAY} listens")
     world.kill(GATEWAY, signal.SIGHUP)
     wait_until(lambda: has_ended_or_started(world), f"{GATEWAY} has started")
-    world.look_at_ends()
+    world.check_all_running()
 
 
 def listens(address: str) -> bool:
@@ -264,15 +264,15 @@
         world.restart(REPLICA)
 
 
-@then("its group is whole again")
-def group_whole(context: Context) -> None:
+@then("its group is complete again")
+def group_complete(context: Context) -> None:
     context.disks.wait_copied(context.loss, fault=0)
 
 
-@then("its group is not whole again")
-def group_not_whole(context: Context) -> None:
+@then("its group is not complete again")
+def group_not_complete(context: Context) -> None:
     try:
-        group_whole(context)
+        group_complete(context)
     except AssertionError:
         return
-    raise AssertionError("the lost disk was not seen")
+    raise AssertionError("the lost disk was not detected")
