--- a/yarrowwall/standalone/runtime/__init__.py
+++ b/yarrowwall/standalone/runtime/__init__.py
@@ -1,7 +1,7 @@
-"""The eventlet driver of a node: sockets, disk and clock around the core.
+"""The eventlet runtime of a node: connects the core to sockets, disk and clock.
 
-Importing this package patches the standard library for eventlet, so import it
-before anything that opens a socket.
+Importing this package monkey-patches the standard library for eventlet, so import it
+before any module that opens a socket.
 """
 
 from yarrowwall.eventlet_setup import patch_all
--- a/yarrowwall/standalone/runtime/bodies.py
+++ b/yarrowwall/standalone/runtime/bodies.py
@@ -1,4 +1,4 @@
-"""Bodies of callers' and operators' HTTP requests, checked by pydantic."""
+"""Request bodies of the HTTP API, validated by pydantic."""
 
 from typing import Literal, TypeVar
 
@@ -9,7 +9,7 @@
 
 Body = TypeVar("Body", bound=BaseModel)
 
-#: Largest body that is read.
+#: Maximum size of a request body.
 MOST_BODY_BYTES = 8 * 1024 * 1024
 
 
@@ -43,7 +43,7 @@
     stream: bool = False
 
     def chat_messages(self) -> list[ChatMessage]:
-        """Return the messages as the core has them."""
+        """Return the messages in the core's type."""
         return [ChatMessage(message.role, message.content) for message in self.messages]
 
 
@@ -63,9 +63,9 @@
 
 
 def parse_body(model: type[Body], data: bytes) -> Body:
-    """Check a body.
+    """Parse and validate a JSON body.
 
-    :raises InvalidRequestError: naming every fault.
+    :raises InvalidRequestError: With all validation errors in its message.
     """
     try:
         return model.model_validate_json(data)
--- a/yarrowwall/standalone/runtime/engine_client.py
+++ b/yarrowwall/standalone/runtime/engine_client.py
@@ -1,4 +1,4 @@
-"""Calls to model engines over HTTP."""
+"""HTTP client of the model engines."""
 
 import json
 
@@ -29,7 +29,7 @@
 from yarrowwall.standalone.runtime.sse import CompletionReader
 from yarrowwall.standalone.runtime.streams import StreamTable
 
-#: Silence after which an engine's stream counts as broken, seconds.
+#: Read timeout of an engine's stream: without data for this long it counts as broken.
 STREAM_SILENCE_SECONDS = 30.0
 CONNECT_SECONDS = 2.0
 POLL_INTERVAL_SECONDS = 0.5
@@ -44,7 +44,7 @@
 
 
 class EngineClient:
-    """Carries out the effects that concern engines."""
+    """Executes the core's effects on engines: attempts, cancellations, releases, orders, polls."""
 
     def __init__(self, node: NodePort, streams: StreamTable) -> None:
         self._node = node
@@ -57,7 +57,7 @@
     # Attempts
 
     def start(self, effect: StartAttempt) -> None:
-        """Run or resume an attempt in the background."""
+        """Start or resume an attempt in the background and relay its stream."""
         self._streams.open(effect.key, effect.routes)
         eventlet.spawn_n(self._run_attempt, effect)
 
@@ -77,7 +77,10 @@
 
     @staticmethod
     def _fault_before_start(effect: StartAttempt) -> EngineFault:
-        """A connection that was never made started nothing, but ends no earlier run."""
+        """Return the fault for a failed connect.
+
+        A new attempt has certainly not started; a resumed one may still run at the engine.
+        """
         return EngineFault.BROKEN if effect.resume else EngineFault.NOT_STARTED
 
     def _open_stream(self, effect: StartAttempt) -> urllib3.BaseHTTPResponse:
@@ -113,14 +116,14 @@
     def _read_stream(self, key: AttemptKey, response: urllib3.BaseHTTPResponse) -> None:
         reader = CompletionReader()
         try:
-            # read_chunked yields bytes as they come; stream(n) would wait for n of them.
+            # read_chunked yields bytes as they arrive; stream(n) would block until n are read.
             for data in response.read_chunked():
                 relayed = reader.feed(data)
                 if relayed:
                     self._streams.relay(key, relayed, reader.text_length)
             response.release_conn()
         except (HTTPError, OSError, ValueError, KeyError) as error:
-            _log.info("a stream broke", extra={"attempt": str(key), "error": str(error)})
+            _log.info("engine stream broke", extra={"attempt": str(key), "error": str(error)})
             response.close()
         self._streams.close(key)
         if not reader.is_whole:
@@ -143,11 +146,11 @@
     # Control
 
     def cancel(self, effect: CancelAttempt) -> None:
-        """Stop an attempt; a lost request is made up for by the release of its cache."""
+        """Cancel an attempt without retries; a lost request is covered by the cache release."""
         eventlet.spawn_n(self._post, effect.engine_address, "/v1/cancel", {"id": str(effect.key)})
 
     def release(self, effect: ReleaseCache) -> None:
-        """Release a program's cache; the core asks again until it is confirmed."""
+        """Release a program's cache; the core retries until the engine confirms."""
         eventlet.spawn_n(self._release, effect)
 
     def _release(self, effect: ReleaseCache) -> None:
@@ -156,7 +159,7 @@
             self._node.post(EngineReleased(effect.program_id, effect.engine_id))
 
     def order(self, effect: OrderEngine) -> None:
-        """Send a fenced order."""
+        """Send an engine its models with the term that fences older orders."""
         eventlet.spawn_n(self._order, effect)
 
     def _order(self, effect: OrderEngine) -> None:
@@ -168,7 +171,7 @@
             self._node.post(event)
 
     def _post(self, address: str, path: str, body: dict) -> dict | None:
-        """Return the JSON answer; None if there is none."""
+        """Return the JSON response to a POST; None if it failed."""
         try:
             response = self._pool.request(
                 "POST", f"http://{address}{path}", json=body, timeout=_SHORT_TIMEOUT
@@ -180,14 +183,14 @@
     # Reports
 
     def poll(self, engine_id: str, address: str, enabled: bool) -> None:
-        """Start or stop reading an engine's load and cache events."""
+        """Start or stop polling an engine for its load and cache events."""
         poller = self._pollers.pop(engine_id, None)
         if poller is not None:
             poller.kill()
         if enabled:
-            self._pollers[engine_id] = eventlet.spawn(self._poll_for_ever, engine_id, address)
+            self._pollers[engine_id] = eventlet.spawn(self._poll_loop, engine_id, address)
 
-    def _poll_for_ever(self, engine_id: str, address: str) -> None:
+    def _poll_loop(self, engine_id: str, address: str) -> None:
         sequence = 0
         while True:
             answer = self._get_load(address, sequence)
@@ -211,7 +214,7 @@
             return None
 
     def _report(self, engine_id: str, answer: dict) -> None:
-        # Made-at on this node's clock: the age the engine states, taken off.
+        # The engine reports the age of its figures; convert it to this node's clock.
         made_at = self._node.now() - float(answer["age_seconds"])
         self._node.post(
             EngineLoadReported(
--- a/yarrowwall/standalone/runtime/exceptions.py
+++ b/yarrowwall/standalone/runtime/exceptions.py
@@ -1,20 +1,20 @@
-"""Errors of the runtime."""
+"""Exceptions of the runtime layer."""
 
 from yarrowwall.exceptions import YarrowwallError
 
 
 class RuntimeLayerError(YarrowwallError):
-    """Base of the errors of this layer."""
+    """Base class of the runtime layer's exceptions."""
 
 
 class FrameError(RuntimeLayerError):
-    """A peer sent a frame that cannot be taken; its connection is closed."""
+    """A peer sent an invalid frame; its connection is closed."""
 
 
 class InvalidRequestError(RuntimeLayerError):
     """A caller's or operator's request is malformed.
 
-    :param status: the HTTP status line to answer with.
+    :param status: HTTP status line of the response.
     """
 
     def __init__(self, message: str, status: str = "400 Bad Request") -> None:
--- a/yarrowwall/standalone/runtime/exchange.py
+++ b/yarrowwall/standalone/runtime/exchange.py
@@ -1,4 +1,4 @@
-"""One HTTP request of a caller or operator, and its response."""
+"""An HTTP request of a caller or operator and its response."""
 
 import json
 from collections.abc import Callable, Iterable
@@ -11,7 +11,7 @@
 from yarrowwall.standalone.runtime.bodies import MOST_BODY_BYTES
 from yarrowwall.standalone.runtime.exceptions import InvalidRequestError
 
-#: Seconds a caller may take to send its body.
+#: Time limit in seconds for receiving a request body.
 BODY_SECONDS = 30.0
 
 _JSON = ("Content-Type", "application/json")
@@ -32,7 +32,7 @@
 
 
 class Exchange:
-    """One HTTP request and its response."""
+    """An HTTP request and its response."""
 
     def __init__(self, environ: Environ, start_response: StartResponse) -> None:
         self._environ = environ
@@ -44,9 +44,9 @@
     # Request
 
     def body(self) -> bytes:
-        """Return the request's body.
+        """Read the request body.
 
-        :raises InvalidRequestError: if it is too large, late or cut short.
+        :raises InvalidRequestError: If it is too large, late or truncated.
         """
         text = self._environ.get("CONTENT_LENGTH") or "0"
         if not text.isdigit():
@@ -64,11 +64,11 @@
         return data
 
     def header(self, name: str) -> str | None:
-        """Return a request header."""
+        """Return a request header; None if it is missing."""
         return self._environ.get("HTTP_" + name.upper().replace("-", "_"))
 
     def positive_header(self, name: str) -> int:
-        """Return a header that must be a positive whole number."""
+        """Return a header that must be a positive integer below 2**31."""
         text = self.header(name) or ""
         if not text.isascii() or not text.isdigit() or not 0 < int(text) < 2**31:
             raise InvalidRequestError(f"{name} must be a whole number from 1")
@@ -84,7 +84,7 @@
         return text.lower() == "true"
 
     def priority(self) -> Priority:
-        """Return the priority header; routine without it."""
+        """Return the priority header; routine if it is missing."""
         text = self.header("Yarrowwall-Priority") or Priority.ROUTINE
         try:
             return Priority(text)
@@ -94,41 +94,41 @@
     # Response
 
     def start(self, status: str, headers: list[tuple[str, str]]) -> None:
-        """Begin the response."""
+        """Start the response with a status and headers."""
         self.status = status
         self._start_response(status, headers)
 
     def encoded(
         self, status: str, body: bytes, headers: Iterable[tuple[str, str]] = ()
     ) -> list[bytes]:
-        """Answer with a JSON body that is encoded already."""
+        """Respond with an already encoded JSON body."""
         self.start(status, [_JSON, ("Content-Length", str(len(body))), *headers])
         return [body]
 
     def json(
         self, status: str, document: dict, headers: Iterable[tuple[str, str]] = ()
     ) -> list[bytes]:
-        """Answer with JSON."""
+        """Respond with a JSON document."""
         return self.encoded(status, json.dumps(document).encode(), headers)
 
     def error(
         self, status: str, error_type: ErrorType, message: str, retry_after: float = 0.0
     ) -> list[bytes]:
-        """Answer with an error."""
+        """Respond with an error document."""
         headers = [("Retry-After", str(max(1, round(retry_after))))] if retry_after else []
         document = {"error": {"type": error_type, "message": message}}
         return self.json(status, document, headers)
 
     def refuse(self, error: InvalidRequestError) -> list[bytes]:
-        """Answer a malformed request.
+        """Respond to a malformed request and close the connection.
 
-        The connection is closed: the rest of a body that was not read would
-        otherwise be waited for before the next request.
+        With keep-alive, the server would wait for the unread rest of the body
+        before the next request.
         """
         document = {"error": {"type": ErrorType.INVALID_REQUEST, "message": str(error)}}
         return self.json(error.status, document, [("Connection", "close")])
 
     def error_reply(self, reply: ErrorReply) -> list[bytes]:
-        """Answer with the error of a reply."""
+        """Respond with an error reply of the core."""
         status = _STATUS_BY_ERROR[ErrorType(reply.error_type)]
         return self.error(status, reply.error_type, reply.message, reply.retry_after)
--- a/yarrowwall/standalone/runtime/http_api.py
+++ b/yarrowwall/standalone/runtime/http_api.py
@@ -1,4 +1,4 @@
-"""The HTTP interface of a node, for callers and operators."""
+"""The HTTP API of a node for callers and operators."""
 
 import time
 from collections.abc import Callable, Iterable, Iterator
@@ -56,7 +56,7 @@
 
 DEFAULT_MAX_TOKENS = 512
 LOOKUP_DEADLINE_SECONDS = 10.0
-#: Longest wait for a final reply beyond the request's own deadline.
+#: Time to wait for the final reply after the request's deadline.
 GRACE_SECONDS = 5.0
 
 _log = logbook.Logger(__name__)
@@ -87,7 +87,7 @@
     def __call__(
         self, environ: dict[str, Any], start_response: Callable[..., Any]
     ) -> Iterable[bytes]:
-        """Serve one request."""
+        """Handle one request."""
         exchange = Exchange(environ, start_response)
         started = time.monotonic()
         route = "unknown"
@@ -155,7 +155,7 @@
         return self._program(exchange, request, "201 Created")
 
     def _budget(self, body: OpenProgramBody) -> int:
-        """Return the budget asked for, bounded by the operators' intent for the desk."""
+        """Return the requested or default budget, capped by the operators' intent for the desk."""
         budgets = self._service.core.configuration().intents.budgets
         limit = next((item.tokens for item in budgets if item.desk == body.desk), None)
         if body.budget_tokens is None:
@@ -179,15 +179,15 @@
         return request_id
 
     def _wait_for_reply(self, request_id: str) -> Any:
-        """Return the final reply, passing over chunks."""
+        """Return the final reply, or an error after the timeout; stream chunks are skipped."""
         while True:
-            item = self._service.callers.next(request_id, self._patience())
+            item = self._service.callers.next(request_id, self._reply_timeout())
             if item is None:
                 return _no_answer()
             if isinstance(item, FinalReply):
                 return item.reply
 
-    def _patience(self) -> float:
+    def _reply_timeout(self) -> float:
         return self._service.settings.limits.request_deadline + GRACE_SECONDS
 
     def _complete(self, exchange: Exchange) -> Iterable[bytes]:
@@ -224,8 +224,8 @@
         )
 
     def _stream(self, exchange: Exchange, request_id: str, request: SubmitCall) -> Iterable[bytes]:
-        """Answer with an event stream; a refusal before the first byte has its own status."""
-        first = self._service.callers.next(request_id, self._patience())
+        """Respond with an event stream; errors before the first byte get their HTTP status."""
+        first = self._service.callers.next(request_id, self._reply_timeout())
         if first is None or isinstance(first, FinalReply):
             reply = first.reply if first else _no_answer()
             if not isinstance(reply, CallReply):
@@ -237,7 +237,7 @@
     def _stream_events(
         self, request_id: str, request: SubmitCall, first: StreamChunk | FinalReply | None
     ) -> Iterator[bytes]:
-        """Yield chunks as they come, then what is missing of the whole answer."""
+        """Yield relayed chunks, then the rest of the recorded answer."""
         relayed = RelayedStream()
         item = first
         try:
@@ -246,11 +246,11 @@
                 if data:
                     self._service.metrics.relayed_bytes.inc(len(data))
                     yield data
-                item = self._service.callers.next(request_id, self._patience())
+                item = self._service.callers.next(request_id, self._reply_timeout())
             reply = item.reply if item else _no_answer()
             yield relayed.ending(f"{request.program_id}/{request.call_number}", reply)
         finally:
-            # Also when the caller has closed the connection: the call goes on.
+            # Also runs when the caller closes the connection; the call itself continues.
             self._service.callers.close(request_id)
             self._service.post(CallerGone(request_id))
 
@@ -275,7 +275,7 @@
         return exchange.error_reply(reply)
 
     def _lookup_priority(self, exchange: Exchange, kind: str) -> Priority:
-        """Return urgent if the caller or the operators' intent says so."""
+        """Return urgent if the operators' intent marks the kind so, else the caller's priority."""
         lookups = self._service.core.configuration().intents.lookups
         if any(item.kind == kind and item.urgent for item in lookups):
             return Priority.URGENT
--- a/yarrowwall/standalone/runtime/metrics.py
+++ b/yarrowwall/standalone/runtime/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of a node, in Prometheus' text form."""
+"""Metrics of a node in the Prometheus text format."""
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram, generate_latest
 
@@ -6,7 +6,7 @@
 
 
 class NodeMetrics:
-    """All metrics of one node, in a registry of its own."""
+    """The metrics of one node, in a separate registry."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
@@ -37,5 +37,5 @@
         )
 
     def render(self) -> bytes:
-        """Return the text that a scrape gets."""
+        """Return the metrics in the text exposition format."""
         return generate_latest(self.registry)
--- a/yarrowwall/standalone/runtime/peers.py
+++ b/yarrowwall/standalone/runtime/peers.py
@@ -1,8 +1,8 @@
-"""Connections between nodes: frames over TCP.
+"""Transport between nodes: length-prefixed frames over TCP.
 
-A frame is a four-byte length, the sender's node id and one encoded message.
-Messages may be lost (a full queue, a broken connection); the core repeats
-what matters.
+A frame has four bytes with the total length of the sender's node id and the encoded message, one
+byte with the length of the node id, then both. Delivery isn't reliable: a full queue or a
+broken connection loses messages, and the core resends those that it needs.
 """
 
 import socket
@@ -21,13 +21,13 @@
 from yarrowwall.messages.exceptions import MessageError
 from yarrowwall.standalone.runtime.exceptions import FrameError
 
-#: Longest frame that is read; longer ones close the connection.
+#: Maximum frame length; a longer frame closes the connection.
 MOST_FRAME_BYTES = 64 * 1024 * 1024
-#: Messages that wait for one peer; the oldest go first.
+#: Maximum number of queued messages per peer; the oldest are dropped when it is full.
 MOST_QUEUED = 20_000
-#: Most bytes joined into one write.
+#: Queued frames are joined into one write until it has at least this many bytes.
 WRITE_BYTES = 256 * 1024
-#: Seconds between attempts to reach a peer.
+#: Seconds between attempts to connect to a peer.
 RECONNECT_SECONDS = 0.5
 CONNECT_TIMEOUT_SECONDS = 2.0
 
@@ -36,12 +36,12 @@
 
 
 def set_no_delay(connection: socket.socket) -> None:
-    """Send small messages at once instead of waiting to fill a packet."""
+    """Disable Nagle's algorithm, so that small messages are sent immediately."""
     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
 def frame(sender: str, message: object) -> bytes:
-    """Return the frame of a message."""
+    """Encode a message as a frame."""
     body = encode(message)
     name = sender.encode()
     return _LENGTH.pack(len(name) + len(body), len(name)) + name + body
@@ -57,13 +57,13 @@
         self._worker = eventlet.spawn(self._run)
 
     def send(self, data: bytes) -> None:
-        """Queue a frame."""
+        """Queue a frame for sending."""
         self._queue.append(data)
         if not self._wakeup.ready():
             self._wakeup.send()
 
     def close(self) -> None:
-        """Stop sending."""
+        """Stop the sending greenlet."""
         self._worker.kill()
 
     def _run(self) -> None:
@@ -86,7 +86,9 @@
                 self._wait()
                 connection.sendall(self._next_write())
         except OSError as error:
-            _log.info("connection to a peer broke", extra={"peer": self.address, "error": error})
+            _log.info(
+                "outgoing peer connection broke", extra={"peer": self.address, "error": error}
+            )
         finally:
             connection.close()
 
@@ -106,10 +108,10 @@
 
 
 class PeerTransport:
-    """Sends messages to nodes by id and receives theirs.
+    """Sends messages to nodes by id and receives messages from them.
 
-    :param address_of: returns the address of a node id; None if unknown.
-    :param receive: called with the sender's node id and the message.
+    :param address_of: Returns the address of a node id; None if unknown.
+    :param receive: Called with the sender's node id and the message.
     """
 
     def __init__(
@@ -124,13 +126,13 @@
         self._address_of = address_of
         self._receive = receive
         self._links: dict[str, _Link] = {}
-        # The same message often goes to several replicas in a row.
+        # Caches the last frame, since one message is often sent to several replicas in a row.
         self._last_message: object = None
         self._last_frame = b""
         self._acceptor = eventlet.spawn(self._accept)
 
     def send(self, node_id: str, message: object) -> None:
-        """Send a message; to this node itself it is handed over directly."""
+        """Queue a message for a node; a message to this node is delivered locally."""
         if node_id == self._node_id:
             eventlet.spawn_n(self._receive, node_id, message)
             return
@@ -165,9 +167,11 @@
                     return
                 self._receive(*self._read_frame(stream, header))
         except (FrameError, MessageError) as error:
-            _log.warning("closed a peer connection", extra={"error": str(error)})
+            _log.warning(
+                "closed a peer connection after an invalid frame", extra={"error": str(error)}
+            )
         except OSError as error:
-            _log.info("a peer connection broke", extra={"error": str(error)})
+            _log.info("incoming peer connection broke", extra={"error": str(error)})
         finally:
             stream.close()
             connection.close()
@@ -176,12 +180,12 @@
     def _read_frame(stream: BinaryIO, header: bytes) -> tuple[str, object]:
         length, name_length = _LENGTH.unpack(header)
         if length > MOST_FRAME_BYTES or name_length > length:
-            raise FrameError(f"a frame of {length} bytes")
+            raise FrameError(f"invalid frame of {length} bytes")
         data = stream.read(length)
         if len(data) < length:
             raise FrameError("the connection ended within a frame")
         try:
             sender = data[:name_length].decode()
         except UnicodeDecodeError as error:
-            raise FrameError("the sender's name is not text") from error
+            raise FrameError("the sender's node id is not valid UTF-8") from error
         return sender, decode(data[name_length:])
--- a/yarrowwall/standalone/runtime/platform_client.py
+++ b/yarrowwall/standalone/runtime/platform_client.py
@@ -1,4 +1,4 @@
-"""The platform's object service and the record servers over HTTP."""
+"""HTTP clients of the platform's object service and of the record servers."""
 
 import base64
 from urllib.parse import urlencode
@@ -19,7 +19,7 @@
 from yarrowwall.standalone.runtime.ports import NodePort
 
 READ_SECONDS = 3.0
-#: Longest time a watch request stays open at the platform.
+#: Time after which the platform answers a watch request even without changes.
 WATCH_SECONDS = 10.0
 RETRY_SECONDS = 1.0
 
@@ -31,12 +31,12 @@
 
 
 def document_from_json(answer: dict) -> Document:
-    """Return the object of an answer's JSON."""
+    """Decode an object from the JSON of a response."""
     return Document(answer["name"], int(answer["version"]), base64.b64decode(answer["body"]))
 
 
 class PlatformClient:
-    """Carries out the effects that concern the platform."""
+    """Executes the core's reads, writes and watches of platform objects."""
 
     def __init__(self, node: NodePort, address: str) -> None:
         self._node = node
@@ -45,7 +45,7 @@
         self._watcher: eventlet.greenthread.GreenThread | None = None
 
     def read(self, effect: ReadPlatform) -> None:
-        """Read an object in the background."""
+        """Read an object in the background and post the result to the node."""
         eventlet.spawn_n(self._read, effect)
 
     def _read(self, effect: ReadPlatform) -> None:
@@ -60,7 +60,7 @@
         self._node.post(PlatformRead(effect.operation_id, effect.name, available, document))
 
     def write(self, effect: WritePlatform) -> None:
-        """Compare and swap an object in the background."""
+        """Write an object by compare-and-swap in the background and post the outcome."""
         eventlet.spawn_n(self._write, effect)
 
     def _write(self, effect: WritePlatform) -> None:
@@ -84,14 +84,14 @@
         self._node.post(PlatformWritten(effect.operation_id, outcome, document))
 
     def watch(self, enabled: bool) -> None:
-        """Start or stop the watch on all objects."""
+        """Start (or restart) or stop watching all objects."""
         if self._watcher is not None:
             self._watcher.kill()
             self._watcher = None
         if enabled:
-            self._watcher = eventlet.spawn(self._watch_for_ever)
+            self._watcher = eventlet.spawn(self._watch_loop)
 
-    def _watch_for_ever(self) -> None:
+    def _watch_loop(self) -> None:
         revision = 0
         while True:
             answer = self._next_changes(revision)
@@ -112,14 +112,14 @@
 
 
 class RecordsClient:
-    """Carries out lookups."""
+    """Sends lookups to record servers."""
 
     def __init__(self, node: NodePort) -> None:
         self._node = node
         self._pool = urllib3.PoolManager(maxsize=64, retries=False, timeout=_TIMEOUT)
 
     def send(self, effect: SendLookup) -> None:
-        """Ask a record server in the background."""
+        """Send a lookup in the background and post its answer, or None on failure."""
         eventlet.spawn_n(self._send, effect)
 
     def _send(self, effect: SendLookup) -> None:
--- a/yarrowwall/standalone/runtime/ports.py
+++ b/yarrowwall/standalone/runtime/ports.py
@@ -1,4 +1,4 @@
-"""What the clients of the runtime use of the node they serve."""
+"""Interfaces of the node that the runtime's clients and HTTP API depend on."""
 
 from typing import Protocol
 
@@ -9,17 +9,17 @@
 
 
 class NodePort(Protocol):
-    """The node as its clients see it."""
+    """The node as used by the engine, platform and record clients."""
 
     def post(self, event: object) -> None:
-        """Hand an event to the core and carry out its effects."""
+        """Pass an event to the core and execute the effects that it returns."""
 
     def now(self) -> float:
-        """Return the node's clock in seconds."""
+        """Return the node's wall-clock time in seconds."""
 
 
 class ServedNode(NodePort, Protocol):
-    """The node as the HTTP interface sees it."""
+    """The node as used by the HTTP API."""
 
     core: NodeCore
     callers: CallerTable
--- a/yarrowwall/standalone/runtime/relayed_stream.py
+++ b/yarrowwall/standalone/runtime/relayed_stream.py
@@ -1,4 +1,4 @@
-"""What of a stream a caller has got, and what is missing of its whole answer."""
+"""Completion of a relayed stream from the recorded answer."""
 
 from typing import Any
 
@@ -8,7 +8,7 @@
 
 
 class RelayedStream:
-    """What of one attempt's stream the caller has got."""
+    """Tracks which bytes of an attempt's stream were sent to a caller."""
 
     def __init__(self) -> None:
         self._attempt = 0
@@ -17,9 +17,9 @@
         self._is_broken = False
 
     def take(self, chunk: StreamChunk) -> bytes:
-        """Return the bytes of a chunk that the caller lacks.
+        """Return the bytes of a chunk that the caller doesn't have yet.
 
-        After a gap or with another attempt's bytes nothing more is relayed;
+        After a gap or a chunk of another attempt nothing more is relayed;
         the rest comes from the recorded answer.
         """
         if self._sent_bytes == 0:
@@ -36,7 +36,7 @@
         return data
 
     def ending(self, completion_id: str, reply: Any) -> bytes:
-        """Return the rest of the answer and its final mark, or an error."""
+        """Return the missing text and the final events of the answer, or an error event."""
         if not isinstance(reply, CallReply):
             return sse.error_event(reply)
         if self._sent_bytes and reply.attempt != self._attempt:
--- a/yarrowwall/standalone/runtime/service.py
+++ b/yarrowwall/standalone/runtime/service.py
@@ -1,4 +1,4 @@
-"""A node process: the core, its clients, its listeners and its clock."""
+"""A node process: wires the core to its clients, listeners and timer."""
 
 import signal
 import socket
@@ -52,18 +52,18 @@
 from yarrowwall.storage.segments import SegmentStore
 
 LISTEN_BACKLOG = 1024
-#: Segment files above which a start compacts the journal.
+#: The journal is compacted at startup if it has more segment files than this.
 SEGMENTS_KEPT = 4
-#: Connections the HTTP server handles at the same time.
+#: Maximum number of concurrent HTTP connections.
 MOST_HTTP_CONNECTIONS = 10_000
-#: Seconds the HTTP server may take to end its last answers after a drain.
+#: Seconds between the end of a drain and the exit, for the HTTP server's last responses.
 DRAIN_GRACE_SECONDS = 0.3
 
 _log = logbook.Logger(__name__)
 
 
 def listen(address: str) -> socket.socket:
-    """Return a listening socket for ``IP:port``; accepted sockets send without delay."""
+    """Return a listening socket for ``IP:port`` with TCP_NODELAY set."""
     host, port = split_address(address)
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     listener = eventlet.listen((host, port), family=family, backlog=LISTEN_BACKLOG)
@@ -72,7 +72,7 @@
 
 
 def core_settings(settings: NodeFileSettings, incarnation: int) -> NodeSettings:
-    """Return the core's settings from the checked file."""
+    """Build the core's settings from a validated settings file."""
     seeds = tuple(
         MemberRecord(peer.node_id, peer.zone, peer.address, 0, 0, MemberStatus.LIVE)
         for peer in settings.peers
@@ -93,10 +93,10 @@
 
 
 class NodeService:
-    """One running node.
+    """A running node.
 
-    :param peer_listener: listening socket for other nodes.
-    :param http_listener: listening socket for callers and operators.
+    :param peer_listener: Listening socket for other nodes.
+    :param http_listener: Listening socket for callers and operators.
     """
 
     def __init__(
@@ -129,7 +129,7 @@
         self._journal_writer: JournalWriter | None = None
         if self._store is not None:
             self._journal_writer = JournalWriter(self._store, self._journal_failed)
-        self._carriers = self._effect_carriers()
+        self._handlers = self._effect_handlers()
         self._timer: eventlet.greenthread.GreenThread | None = None
         self._timer_at = 0.0
         self._http_listener = http_listener
@@ -158,19 +158,19 @@
     # The clock and the core
 
     def now(self) -> float:
-        """Return the wall clock in seconds; journal entries carry it."""
+        """Return the wall-clock time in seconds, which is also written to journal entries."""
         return time.time()
 
     def start(self) -> None:
-        """Begin to work."""
+        """Start the core."""
         _log.info("node started", extra={"peer_address": self.settings.peer_address})
         self.post(NodeStarted())
 
     def post(self, event: object) -> None:
-        """Hand an event to the core and carry out its effects."""
+        """Pass an event to the core and execute the effects that it returns."""
         effects = self.core.handle(self.now(), event)
         for effect in effects:
-            self._carriers[type(effect)](effect)
+            self._handlers[type(effect)](effect)
         self._set_timer()
 
     def _set_timer(self) -> None:
@@ -194,7 +194,7 @@
 
     # Effects
 
-    def _effect_carriers(self) -> dict:
+    def _effect_handlers(self) -> dict:
         return {
             SendToPeer: lambda effect: self._peers.send(effect.node_id, effect.message),
             PersistThenSend: self._persist_then_send,
@@ -229,14 +229,14 @@
             self._peers.send(gateway, chunk)
 
     def _journal_failed(self, error: Exception) -> bool:
-        _log.error("the journal cannot be written; the node stops", extra={"error": str(error)})
+        _log.error("journal write failed, stopping the node", extra={"error": str(error)})
         self._stop(1)
         return False
 
     # Stopping
 
     def drain(self) -> None:
-        """Finish what runs, accept nothing new, then stop."""
+        """Finish running work, refuse new work, then stop."""
         _log.info("draining")
         self.post(DrainRequested())
 
@@ -250,7 +250,7 @@
     def wait(self) -> int:
         """Wait until the node has stopped.
 
-        :returns: the process's exit code.
+        :returns: The exit code of the process.
         """
         code = self._stopped.wait()
         _log.info("node stopped", extra={"code": code})
@@ -263,9 +263,9 @@
 
 
 def run_node(settings: NodeFileSettings) -> int:
-    """Run a node until it is told to stop.
+    """Run a node until it is drained by a signal or fails.
 
-    :returns: the process's exit code.
+    :returns: The exit code of the process.
     """
     service = NodeService(settings, listen(settings.peer_address), listen(settings.http_address))
     service.handle_signals()
--- a/yarrowwall/standalone/runtime/sse.py
+++ b/yarrowwall/standalone/runtime/sse.py
@@ -1,4 +1,4 @@
-"""Server-sent events of chat completions: reading an engine's, writing our own."""
+"""Server-sent events of chat completions: parses engines' streams, encodes own events."""
 
 import json
 from dataclasses import dataclass, field
@@ -12,10 +12,11 @@
 
 @dataclass
 class CompletionReader:
-    """Collects an engine's stream.
+    """Parses the event stream of an engine's chat completion.
 
-    :ivar text: the answer so far.
-    :ivar finish_reason: set by the last event.
+    :ivar parts: Text pieces received so far.
+    :ivar finish_reason: Set by the last event.
+    :ivar is_whole: True once the stream has ended after an event with a finish reason.
     """
 
     parts: list[str] = field(default_factory=list)
@@ -28,17 +29,17 @@
     _rest: bytes = b""
 
     def feed(self, data: bytes) -> bytes:
-        """Take bytes of the stream.
+        """Parse the next bytes of the stream.
 
-        :returns: those that may be relayed: whole events before the last one.
-        :raises ValueError: if an event is not what the protocol says.
+        :returns: The bytes to relay: complete events except the final ones.
+        :raises ValueError: If an event isn't valid JSON.
         """
         *events, self._rest = (self._rest + data).split(_SEPARATOR)
         relayed = [event + _SEPARATOR for event in events if self._take(event)]
         return b"".join(relayed)
 
     def _take(self, event: bytes) -> bool:
-        """Read one event; return whether it is relayed as it is."""
+        """Parse one event and return whether it may be relayed unchanged."""
         payload = event.removeprefix(_PREFIX)
         if payload == b"[DONE]":
             self.is_whole = bool(self.finish_reason)
@@ -65,7 +66,7 @@
 
     @property
     def text(self) -> str:
-        """The answer so far."""
+        """Text received so far."""
         return "".join(self.parts)
 
 
@@ -74,19 +75,19 @@
 
 
 def chunk_event(completion_id: str, model: str, content: str) -> bytes:
-    """Return an event with a piece of the answer."""
+    """Return an event with a piece of the answer's text."""
     return _event(_chunk(completion_id, model, {"role": "assistant", "content": content}, None))
 
 
 def final_events(completion_id: str, reply: CallReply) -> bytes:
-    """Return the events that end a whole answer."""
+    """Return the events that end a complete answer."""
     document = _chunk(completion_id, reply.model, {}, reply.finish_reason)
     document["usage"] = usage_document(reply)
     return _event(document) + DONE_EVENT
 
 
 def error_event(error: ErrorReply) -> bytes:
-    """Return the event that ends a stream without a whole answer."""
+    """Return the event that ends a stream with an error."""
     return _event({"error": {"type": error.error_type, "message": error.message}})
 
 
@@ -111,7 +112,7 @@
 
 
 def completion_document(reply: CallReply) -> dict:
-    """Return the body of an answer that is not streamed."""
+    """Return the body of a response that isn't streamed."""
     message = {"role": "assistant", "content": reply.text}
     choice = {"index": 0, "message": message, "finish_reason": reply.finish_reason}
     return {
--- a/yarrowwall/standalone/runtime/streams.py
+++ b/yarrowwall/standalone/runtime/streams.py
@@ -1,7 +1,7 @@
-"""Relaying of engines' event streams to the callers, as they come.
+"""Relaying of engines' event streams to callers.
 
-The bytes are passed on unchanged. Only the last event, which tells that the
-answer is whole, is held back until the answer is chosen.
+Bytes are forwarded unchanged as they arrive. Only the last event, which marks the answer as
+complete, is held back until the core has recorded which attempt's answer counts.
 """
 
 from collections.abc import Callable
@@ -23,20 +23,20 @@
 
 
 class StreamTable:
-    """The attempts that this node relays."""
+    """Tracks the attempts whose streams this node relays and the callers of each."""
 
     def __init__(self, send: SendChunk) -> None:
         self._send = send
         self._relays: dict[AttemptKey, _Relay] = {}
 
     def open(self, key: AttemptKey, routes: tuple[StreamRoute, ...]) -> None:
-        """Begin to relay an attempt, or begin again from its first byte."""
+        """Start to relay an attempt, or restart from its first byte and keep the known routes."""
         known = self._relays.get(key)
         merged = list(dict.fromkeys([*(known.routes if known else []), *routes]))
         self._relays[key] = _Relay(merged)
 
     def attach(self, key: AttemptKey, route: StreamRoute) -> None:
-        """Relay an attempt to one more caller, from the first byte on."""
+        """Add a caller to a relayed attempt and send it all bytes relayed so far."""
         relay = self._relays.get(key)
         if relay is None:
             return
@@ -48,7 +48,10 @@
             self._send(route.gateway, chunk)
 
     def relay(self, key: AttemptKey, data: bytes, text_length: int) -> None:
-        """Pass bytes on to every caller of an attempt."""
+        """Forward bytes to every caller of an attempt.
+
+        :param text_length: Characters of the answer's text up to the end of these bytes.
+        """
         relay = self._relays.get(key)
         if relay is None:
             return
@@ -60,5 +63,5 @@
             self._send(route.gateway, chunk)
 
     def close(self, key: AttemptKey) -> None:
-        """Forget an attempt."""
+        """Stop relaying an attempt."""
         self._relays.pop(key, None)
--- a/yarrowwall/standalone/simulation/nodes.py
+++ b/yarrowwall/standalone/simulation/nodes.py
@@ -112,7 +112,7 @@
         self._waiting: dict[str, simpy.Event] = {}
         self._writes: deque[_Write] = deque()
         self._armed: float | None = None
-        self._carriers = self._effect_carriers()
+        self._handlers = self._effect_handlers()
 
     # Life
 
@@ -222,9 +222,9 @@
         self.post(TimeAdvanced())
 
     def _carry(self, effect: Effect) -> None:
-        self._carriers[type(effect)](effect)
+        self._handlers[type(effect)](effect)
 
-    def _effect_carriers(self) -> dict:
+    def _effect_handlers(self) -> dict:
         world = self._world
         return {
             SendToPeer: lambda effect: self._send(effect.node_id, effect.message),
