--- a/yarrowwall/standalone/__init__.py
+++ b/yarrowwall/standalone/__init__.py
@@ -1,6 +1,7 @@
-"""A scheduler for a site of its own: the nodes of ``yarrowwall node``.
+"""The standalone scheduler: the nodes of ``yarrowwall node``.
 
-Nodes own programs, keep their journals and agree on configurations among themselves; nothing
-of it runs on the users' platform. What both share (messages, storage, hashing, quorums) lies
-beside this package; it imports none of the platform's parts, and they import none of it.
+Nodes own programs, keep their journals and agree on configurations among themselves, without
+the platform that the other deployment runs on. Code that both deployments share (messages,
+storage, hashing, quorums) is outside this package. This package and the platform packages
+don't import each other.
 """
--- a/yarrowwall/standalone/logs.py
+++ b/yarrowwall/standalone/logs.py
@@ -1,4 +1,4 @@
-"""Logs as JSON lines."""
+"""Logging as JSON lines."""
 
 import json
 import sys
@@ -10,9 +10,9 @@
 class JsonLinesHandler(logbook.StreamHandler):
     """Writes each record as one JSON object: time, level, logger, message, fields.
 
-    Named values go into ``extra``: ``log.info("call finished", extra={...})``.
+    Pass fields in ``extra``: ``log.info("call finished", extra={...})``.
 
-    :param node_id: put into every line.
+    :param node_id: Added to every line, like the zone.
     """
 
     def __init__(self, node_id: str, zone: str, level: str, stream: TextIO = sys.stderr) -> None:
@@ -20,7 +20,7 @@
         self._common = {"node": node_id, "zone": zone}
 
     def format(self, record: logbook.LogRecord) -> str:
-        """Return the JSON line of a record."""
+        """Format a record as one line of JSON."""
         line = {
             "time": record.time.isoformat() + "Z",
             "level": record.level_name,
@@ -35,5 +35,5 @@
 
 
 def set_up(node_id: str, zone: str, level: str) -> None:
-    """Send this process's log lines to standard error."""
+    """Log to standard error for the whole process."""
     JsonLinesHandler(node_id, zone, level).push_application()
--- a/yarrowwall/standalone/models/__init__.py
+++ b/yarrowwall/standalone/models/__init__.py
@@ -1,1 +1,1 @@
-"""Models of the outside systems, without I/O; the stand-ins and the simulation run them."""
+"""Models of external systems without I/O, used by the stand-ins and the simulation."""
--- a/yarrowwall/standalone/models/engine.py
+++ b/yarrowwall/standalone/models/engine.py
@@ -1,8 +1,8 @@
-"""A model engine: continuous batching, prefill and decode times, prefix cache.
+"""Model of an engine: continuous batching, prefill and decode times, prefix cache.
 
-All decoding sequences advance at the same rate, which falls with the size of
-the batch; one prompt is prefilled at a time and slows decoding meanwhile. The
-model is advanced from event to event and costs nothing in between.
+All decoding sequences advance at the same rate, which falls with the size of the batch. One
+prompt is prefilled at a time and slows decoding meanwhile. The model is event-driven: it
+computes only when a request gets its first token or finishes.
 """
 
 import heapq
@@ -20,13 +20,14 @@
 
 @dataclass(frozen=True)
 class EngineParameters:
-    """An engine's size and speeds.
-
-    :param max_batch: most sequences in the batch.
-    :param max_queue: most requests that wait; more are refused.
-    :param decode_base_seconds: time of one decoding step for an empty batch.
-    :param decode_sequence_seconds: what every sequence adds to a step.
-    :param hold_seconds: a hold expires after this time.
+    """Size and speed of an engine.
+
+    :param max_batch: Maximum number of sequences in the batch.
+    :param max_queue: Maximum number of queued requests; further ones are refused.
+    :param decode_base_seconds: Duration of a decoding step for an empty batch.
+    :param decode_sequence_seconds: Time that each sequence adds to a step.
+    :param cache_tokens: Size of the prefix cache in tokens.
+    :param hold_seconds: Time after which a hold expires.
     """
 
     max_batch: int = 16
@@ -40,10 +41,11 @@
 
 @dataclass(frozen=True)
 class EngineRequest:
-    """A request as an engine gets it.
+    """A request to an engine.
 
-    :param request_id: the engine runs an id at most once.
-    :param prompt: blocks of the whole prompt.
+    :param request_id: Idempotency key: the engine runs an id at most once.
+    :param prompt: Blocks of the complete prompt.
+    :param hold: Whether to hold the prompt and its answer in the cache for the next call.
     """
 
     request_id: str
@@ -57,7 +59,7 @@
 
 
 class Admission(StrEnum):
-    """Whether a request was taken."""
+    """Whether a request was accepted, or why not."""
 
     ACCEPTED = "accepted"
     DUPLICATE = "duplicate"
@@ -69,10 +71,11 @@
 
 @dataclass
 class Progress:
-    """A request as the engine knows it.
+    """State of a request in the engine.
 
-    :ivar text: the whole answer; the first ``tokens_out`` tokens are produced.
-    :ivar computed: blocks that had to be prefilled.
+    :ivar text: The complete answer, of which :meth:`EngineModel.tokens_out` tokens are produced.
+    :ivar computed: Blocks that weren't cached and had to be prefilled.
+    :ivar finish_mark: Value of the engine's decode mark at which the answer is complete.
     """
 
     request: EngineRequest
@@ -87,16 +90,16 @@
     finish_mark: float = 0.0
 
     def prompt_tokens(self) -> int:
-        """Return the length of the prompt."""
+        """Return the length of the prompt in tokens."""
         return sum(block.tokens for block in self.request.prompt)
 
     def is_over(self) -> bool:
-        """Return whether nothing more is produced."""
+        """Return whether the request has finished or was cancelled."""
         return self.finished_at is not None or self.cancelled
 
 
 class EngineOutputKind(StrEnum):
-    """What happened to a request."""
+    """Kind of progress of a request."""
 
     FIRST_TOKEN = "first_token"
     FINISHED = "finished"
@@ -104,7 +107,7 @@
 
 @dataclass(frozen=True)
 class EngineOutput:
-    """Something an engine produced."""
+    """Progress of a request, as returned by :meth:`EngineModel.advance`."""
 
     kind: EngineOutputKind
     progress: Progress
@@ -112,7 +115,7 @@
 
 @dataclass(frozen=True)
 class LoadReport:
-    """What an engine reports of itself."""
+    """Load and state of an engine."""
 
     running: int
     queued: int
@@ -124,7 +127,7 @@
 
 
 def answer_text(prompt: tuple[PrefixBlock, ...], output_tokens: int) -> str:
-    """Return the text a model would answer; fixed by the prompt."""
+    """Return the text of an answer, which depends only on the prompt and the length."""
     seed = prompt[-1].key if prompt else ""
     pattern = f"{digest(seed)[:15]} "
     repeats = output_tokens * BYTES_PER_TOKEN // len(pattern) + 1
@@ -132,7 +135,7 @@
 
 
 def answer_tokens(prompt: tuple[PrefixBlock, ...], max_tokens: int) -> int:
-    """Return the length of the answer to a prompt: half to all of what is allowed."""
+    """Return an answer's length in tokens: half to all of the maximum, fixed by the prompt."""
     seed = prompt[-1].key if prompt else ""
     return max(1, int(max_tokens * (0.5 + 0.5 * fraction("answer", seed))))
 
@@ -149,7 +152,7 @@
 
 
 class EngineModel:
-    """One engine."""
+    """An engine on a clock that the caller advances."""
 
     def __init__(self, parameters: EngineParameters, models: tuple[str, ...], now: float) -> None:
         self._parameters = parameters
@@ -173,7 +176,7 @@
     # Requests
 
     def submit(self, now: float, request: EngineRequest) -> Admission:
-        """Take a request, unless the engine must not or cannot run it."""
+        """Queue a request, or return why the engine refuses it."""
         if request.request_id in self.requests:
             return Admission.DUPLICATE
         if request.request_id in self._fenced:
@@ -217,11 +220,11 @@
             self.cache.pin(prompt)
             self.cache.touch(prompt)
             self._prefilling = progress
-            # At least the last token is computed to get the first one out.
+            # Producing the first token takes at least the computation of the last prompt token.
             self._prefill_left = max(1.0, float(sum(block.tokens for block in progress.computed)))
 
     def cancel(self, request_id: str) -> None:
-        """Stop a request; its place in the batch is free at once."""
+        """Cancel a request and free its slot in the batch."""
         progress = self.requests.get(request_id)
         if progress is None or progress.is_over():
             return
@@ -236,9 +239,9 @@
         self._fill_batch()
 
     def resume(self, request_id: str) -> Progress | None:
-        """Return a request to stream it again from its start.
+        """Return a request, to stream it again from its start.
 
-        A request that was never seen is fenced: should it arrive later, from
+        An unknown id is fenced: if the request arrives later, for example from
         a sender that was paused, it is refused.
         """
         progress = self.requests.get(request_id)
@@ -253,7 +256,7 @@
     # Time
 
     def _decode_rate(self) -> float:
-        """Return tokens a second of every decoding sequence."""
+        """Return the tokens per second of each decoding sequence."""
         if not self._decoding:
             return 0.0
         parameters = self._parameters
@@ -264,7 +267,7 @@
         return share / step
 
     def next_event(self) -> float | None:
-        """Return when the next request gets its first token or finishes."""
+        """Return the time when the next request gets its first token or finishes, if any."""
         times = []
         if self._prefilling is not None:
             seconds = self._prefill_left / self._parameters.prefill_tokens_per_second
@@ -275,9 +278,9 @@
         return min(times, default=None)
 
     def advance(self, now: float) -> list[EngineOutput]:
-        """Run up to a time.
+        """Advance the clock to a time.
 
-        :returns: what was produced on the way, in order.
+        :returns: First tokens and finished requests until then, in order.
         """
         outputs: list[EngineOutput] = []
         while True:
@@ -322,7 +325,7 @@
         return outputs
 
     def _keep_cache(self, progress: Progress) -> None:
-        """Store the prompt with its answer, and hold it if that was asked for."""
+        """Cache the prompt with its answer, and hold both if the request asks for it."""
         request = progress.request
         whole = (*request.prompt, self._answer_block(progress))
         self.cache.store(whole)
@@ -339,7 +342,7 @@
         return chain([(content, tokens)], last)[0]
 
     def tokens_out(self, progress: Progress) -> int:
-        """Return how many tokens of an answer are produced."""
+        """Return the number of tokens of an answer that are produced."""
         if progress.finished_at is not None:
             return progress.output_tokens
         if progress.first_token_at is None or progress.cancelled:
@@ -350,15 +353,15 @@
     # Control
 
     def release(self, program_id: str, through_call: int) -> None:
-        """Hold nothing for a program, nor for a late start of a call up to ``through_call``."""
+        """Release a program's hold and add none for its calls up to ``through_call``."""
         known = self._released_through.get(program_id, 0)
         self._released_through[program_id] = max(known, through_call)
         self.cache.release(program_id)
 
     def order(self, term: int, models: tuple[str, ...]) -> bool:
-        """Serve other models, unless a higher term has ordered before.
+        """Serve other models, unless an order with a higher term was accepted before.
 
-        :returns: whether the order is obeyed.
+        :returns: Whether the order is accepted.
         """
         if term < self._orders_term:
             return False
@@ -367,7 +370,7 @@
         return True
 
     def load(self) -> LoadReport:
-        """Return the load now."""
+        """Return the current load."""
         queued = [item.progress for item in self._queue if not item.progress.cancelled]
         waiting = queued + [item.progress for item in self._prefill_queue]
         return LoadReport(
--- a/yarrowwall/standalone/models/platform.py
+++ b/yarrowwall/standalone/models/platform.py
@@ -1,4 +1,4 @@
-"""The platform's object service: versions, compare-and-swap, watches."""
+"""Model of the platform's object service: versions, compare-and-swap, watches."""
 
 from dataclasses import dataclass
 
@@ -7,10 +7,10 @@
 
 @dataclass(frozen=True)
 class WriteResult:
-    """The answer to a write.
+    """Result of a write.
 
-    :param applied: False if the expected version was not the current one.
-    :param document: the object after the write; None if there is none.
+    :param applied: False if the expected version isn't the current one.
+    :param document: The current object; None if it doesn't exist.
     """
 
     applied: bool
@@ -18,7 +18,7 @@
 
 
 class PlatformModel:
-    """Objects by name; every write of any object gets the next revision."""
+    """Versioned objects by name; each write of any object increments the revision."""
 
     def __init__(self) -> None:
         self._objects: dict[str, Document] = {}
@@ -30,11 +30,11 @@
         return len(self._log)
 
     def read(self, name: str) -> Document | None:
-        """Return an object."""
+        """Return an object; None if it doesn't exist."""
         return self._objects.get(name)
 
     def write(self, name: str, expected_version: int, body: bytes) -> WriteResult:
-        """Write an object if its version is the expected one; 0 if it must not exist."""
+        """Write an object if it has the expected version; 0 means that it must not exist."""
         current = self._objects.get(name)
         version = current.version if current else 0
         if version != expected_version:
@@ -49,5 +49,5 @@
         return self._log[revision:]
 
     def objects(self) -> list[Document]:
-        """Return all objects as they are now."""
+        """Return the current objects."""
         return list(self._objects.values())
--- a/yarrowwall/standalone/models/prefix_cache.py
+++ b/yarrowwall/standalone/models/prefix_cache.py
@@ -1,4 +1,4 @@
-"""An engine's prefix cache: prompt blocks in limited memory, least recently used first out."""
+"""Model of an engine's prefix cache: prompt blocks in limited memory with LRU eviction."""
 
 from collections import OrderedDict
 from collections.abc import Iterable
@@ -6,13 +6,13 @@
 
 from yarrowwall.hashing import PrefixBlock
 
-#: Cache events kept for readers; older ones are lost to them.
+#: Number of cache events kept; pollers miss older ones.
 EVENTS_KEPT = 2_000
 
 
 @dataclass(frozen=True)
 class CacheEvent:
-    """A change of the cache, as published."""
+    """A published change of the cache."""
 
     sequence: int
     stored: tuple[str, ...]
@@ -26,11 +26,12 @@
 
 
 class PrefixCache:
-    """Blocks in memory, and which of them are pinned.
+    """Blocks in memory and their pins.
 
-    A block is pinned while a running request uses it or a program holds it.
+    A block is pinned, and so not evicted, while a running request uses it or it is held for a
+    program.
 
-    :param capacity_tokens: memory in tokens.
+    :param capacity_tokens: Memory size in tokens.
     """
 
     def __init__(self, capacity_tokens: int) -> None:
@@ -43,7 +44,7 @@
         self._sequence = 0
 
     def cached_blocks(self, prompt: tuple[PrefixBlock, ...]) -> int:
-        """Return how many leading blocks of a prompt are in memory."""
+        """Return the number of leading blocks of a prompt that are in memory."""
         count = 0
         for block in prompt:
             if block.key not in self._blocks:
@@ -52,7 +53,7 @@
         return count
 
     def store(self, blocks: tuple[PrefixBlock, ...]) -> None:
-        """Put blocks in memory, evicting others; what does not fit is left out."""
+        """Store blocks, evicting others; stop at the first block that doesn't fit."""
         stored = []
         evicted: list[str] = []
         for block in blocks:
@@ -69,7 +70,7 @@
             self._publish(tuple(stored), tuple(evicted))
 
     def touch(self, blocks: tuple[PrefixBlock, ...]) -> None:
-        """Mark blocks as used; a block's successors are evicted before it."""
+        """Mark blocks as recently used, so that later blocks of a prompt are evicted first."""
         for block in reversed(blocks):
             if block.key in self._blocks:
                 self._blocks.move_to_end(block.key)
@@ -92,11 +93,11 @@
         del self._events[:-EVENTS_KEPT]
 
     def events_after(self, sequence: int) -> list[CacheEvent]:
-        """Return the events kept that are newer than a sequence number."""
+        """Return the kept events that are newer than a sequence number."""
         return [event for event in self._events if event.sequence > sequence]
 
     def pin(self, blocks: tuple[PrefixBlock, ...]) -> None:
-        """Keep blocks in memory until unpinned as often."""
+        """Pin blocks; pins are counted."""
         for block in blocks:
             self._pins[block.key] = self._pins.get(block.key, 0) + 1
 
@@ -112,23 +113,23 @@
                 self._pins[key] -= 1
 
     def hold(self, program_id: str, blocks: tuple[PrefixBlock, ...], expires_at: float) -> None:
-        """Pin a program's prefix in place of what was held for it before."""
+        """Hold a program's prefix until a time, replacing its earlier hold."""
         self.pin(blocks)
         self.release(program_id)
         self._holds[program_id] = _Hold(frozenset(block.key for block in blocks), expires_at)
 
     def release(self, program_id: str) -> None:
-        """Hold nothing more for a program."""
+        """Release a program's hold."""
         held = self._holds.pop(program_id, None)
         if held is not None:
             self._unpin_keys(held.keys)
 
     def expire_holds(self, now: float) -> None:
-        """Release what was held for longer than agreed."""
+        """Release expired holds."""
         for program_id, held in list(self._holds.items()):
             if now >= held.expires_at:
                 self.release(program_id)
 
     def held_programs(self) -> list[str]:
-        """Return the programs something is held for."""
+        """Return the programs with a hold."""
         return list(self._holds)
--- a/yarrowwall/standalone/settings.py
+++ b/yarrowwall/standalone/settings.py
@@ -1,4 +1,4 @@
-"""Settings files: TOML, checked by pydantic, every fault named with its key."""
+"""Settings files in TOML, validated by pydantic with one error line per invalid key."""
 
 from pathlib import Path
 from typing import Annotated, TypeVar
@@ -20,7 +20,7 @@
 
 
 class PeerSettings(_Section):
-    """Another node to gossip with at first."""
+    """A seed node for gossip."""
 
     node_id: Name
     zone: Name
@@ -28,7 +28,7 @@
 
 
 class ReplicaSettings(_Section):
-    """A journal replica of the first shard map."""
+    """A journal replica of the initial shard map."""
 
     replica_id: Name
     node_id: Name
@@ -36,7 +36,7 @@
 
 
 class SchedulingSettings(_Section):
-    """Weights of the placement; see docs/design for how they were found."""
+    """Placement policy and its weights; docs/design describes how they were derived."""
 
     policy: str = Field(
         default="yarrowwall", pattern="^(yarrowwall|round-robin|least-loaded|sticky)$"
@@ -47,7 +47,7 @@
 
 
 class LimitSettings(_Section):
-    """Time limits of a node, in seconds."""
+    """Limits of a node; times are in seconds."""
 
     order_wait: float = Field(default=Limits.order_wait, gt=0.0, le=3600.0)
     queue_wait: float = Field(default=Limits.queue_wait, gt=0.0, le=3600.0)
@@ -57,7 +57,7 @@
 
 
 class NodeFileSettings(_Section):
-    """The settings file of a node."""
+    """Contents of a node's settings file."""
 
     node_id: Name
     zone: Name
@@ -77,10 +77,10 @@
 
 
 def parse_settings(text: str, model: type[_Checked]) -> _Checked:
-    """Check the text of a settings file.
+    """Parse and validate the text of a settings file.
 
-    :param model: what the file is to hold.
-    :raises SettingsError: with one line a fault.
+    :param model: Model of the file's contents.
+    :raises SettingsError: With one line per error.
     """
     values = parse_toml(text)
     try:
@@ -90,7 +90,7 @@
 
 
 def _fault_line(fault: ErrorDetails) -> str:
-    """Return key, value and what is allowed."""
+    """Format a validation error as key, value and message."""
     key = ".".join(str(part) for part in fault["loc"])
     if fault["type"] == "missing":
         return f"{key}: missing: the key is required"
@@ -100,9 +100,9 @@
 
 
 def load_settings(path: Path, model: type[_Checked]) -> _Checked:
-    """Read and check a settings file.
+    """Read and validate a settings file.
 
-    :param model: what the file is to hold.
-    :raises SettingsError: if it cannot be read or has faults.
+    :param model: Model of the file's contents.
+    :raises SettingsError: If the file can't be read or is invalid.
     """
     return parse_settings(read_text(path), model)
--- a/yarrowwall/standalone/standins/__init__.py
+++ b/yarrowwall/standalone/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins of the outside systems: HTTP servers over :mod:`yarrowwall.standalone.models`."""
+"""Stand-ins for external systems: HTTP servers on top of :mod:`yarrowwall.standalone.models`."""
--- a/yarrowwall/standalone/standins/engine.py
+++ b/yarrowwall/standalone/standins/engine.py
@@ -1,4 +1,4 @@
-"""Stand-in of a model engine: an OpenAI-compatible stream over the engine model."""
+"""Stand-in for a model engine: an OpenAI-compatible streaming API over the engine model."""
 
 import json
 import socket
@@ -22,7 +22,7 @@
 )
 from yarrowwall.standalone.standins.web import Call, StandInServer
 
-#: Seconds between looks at a running request.
+#: Seconds between checks of a running request for new tokens.
 TICK_SECONDS = 0.01
 RETRY_AFTER_SECONDS = "1"
 
@@ -36,11 +36,13 @@
 
 
 class EngineStandIn:
-    """One engine process.
+    """An engine process.
 
-    :param speed: how much faster than the model's own speed it runs.
-    :param report_lag: age of the load reports it gives, seconds.
-    :param event_gap: every so many cache events one is left out; 0 for none.
+    :param speed: Speed of the model's clock relative to real time.
+    :param report_lag: Age of the load reports in seconds.
+    :param event_gap: Cache events whose sequence number is a multiple of this are omitted; 0 omits
+        none.
+    :ivar starts: Ids of accepted requests, in order.
     """
 
     def __init__(
@@ -74,7 +76,7 @@
         )
 
     def _now(self) -> float:
-        """Return the model's clock, after running the model up to it."""
+        """Advance the model to the current time and return its clock."""
         now = (time.monotonic() - self._origin) * self._speed
         self.model.advance(now)
         return now
@@ -106,7 +108,7 @@
         return call.stream(self._events(progress))
 
     def _events(self, progress: Progress) -> Iterator[bytes]:
-        """Yield the events of a request from its first token on."""
+        """Yield a request's events from its first token until it finishes or is cancelled."""
         sent = 0
         while True:
             self._now()
@@ -169,7 +171,7 @@
         return call.json({})
 
     def _load(self, call: Call) -> Iterable[bytes]:
-        """Report the load as it was a while ago, and the cache events with gaps."""
+        """Return a delayed load report and the cache events, some of them omitted."""
         self._now()
         report, age = self._lagging_report()
         after = int(call.query("after", "0"))
@@ -186,7 +188,7 @@
         while len(self._reports) > 1 and self._reports[1][0] <= now - self._report_lag:
             self._reports.popleft()
         made_at, report = self._reports[0]
-        # Leaving and obeyed orders are told without lag.
+        # The leaving state and accepted orders are reported without delay.
         current = self.model.load()
         fresh = LoadReport(
             report.running,
@@ -200,7 +202,7 @@
         return fresh, now - made_at
 
     def _state(self, call: Call) -> Iterable[bytes]:
-        """Tell what tests need to see: every start and what is held."""
+        """Return the accepted requests and the programs with held cache, for tests."""
         self._now()
         held = self.model.cache.held_programs()
         return call.json({"starts": self.starts, "held": held})
--- a/yarrowwall/standalone/standins/local_cluster.py
+++ b/yarrowwall/standalone/standins/local_cluster.py
@@ -1,4 +1,4 @@
-"""A whole small system in one process on loopback, for the demo and for benchmarks."""
+"""A small cluster in one process on loopback, for the demo and for benchmarks."""
 
 import socket
 from dataclasses import dataclass
@@ -32,9 +32,10 @@
 
 
 class LocalCluster:
-    """Three nodes with journals, a platform, engines, record servers and a tool.
+    """Three nodes with journals, a platform, engines, record servers and a tool service.
 
-    :param folder: holds the nodes' data folders.
+    :param folder: Parent of the nodes' data folders.
+    :param engine_speed: Speed of the engines' clocks relative to real time.
     """
 
     def __init__(self, folder: Path, models: tuple[str, ...], engine_speed: float) -> None:
@@ -91,13 +92,13 @@
         return nodes
 
     def start(self) -> None:
-        """Start the nodes and wait until they know the engines.
+        """Start the nodes and wait until they have a load report of every engine.
 
-        :raises TimeoutError: if they do not.
+        :raises TimeoutError: If a node isn't ready in time.
         """
         for node in self.nodes:
             node.start()
-        with eventlet.Timeout(READY_SECONDS, TimeoutError("the nodes did not get ready")):
+        with eventlet.Timeout(READY_SECONDS, TimeoutError("the nodes are not ready in time")):
             while not all(self._is_ready(node) for node in self.nodes):
                 eventlet.sleep(0.02)
 
@@ -107,5 +108,5 @@
         return node.core.is_ready() and bool(engines) and all(view.report for view in engines)
 
     def url(self, number: int) -> str:
-        """Return the base URL of a node."""
+        """Return the base URL of a node's HTTP API."""
         return f"http://{self.nodes[number].settings.http_address}"
--- a/yarrowwall/standalone/standins/platform.py
+++ b/yarrowwall/standalone/standins/platform.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's object service, with switches for its failures."""
+"""Stand-in for the platform's object service, with switches for failures."""
 
 import base64
 import json
@@ -11,13 +11,13 @@
 from yarrowwall.standalone.models.platform import PlatformModel
 from yarrowwall.standalone.standins.web import Call, StandInServer
 
-#: Seconds between looks for changes while a watch waits.
+#: Seconds between checks for changes while a watch is open.
 WATCH_TICK_SECONDS = 0.02
 MACHINES_OBJECT = "machines"
 
 
 def document_json(document: Document) -> dict:
-    """Return an object's JSON."""
+    """Encode an object for a JSON response."""
     return {
         "name": document.name,
         "version": document.version,
@@ -28,8 +28,8 @@
 class PlatformStandIn:
     """The platform's process.
 
-    Switches (``POST /switches``): ``down``, ``slow_seconds``, and
-    ``lose_answers``: so many coming writes take effect without an answer.
+    Switches (``POST /switches``): ``down``, ``slow_seconds`` (delay of each response) and
+    ``lose_answers`` (number of next writes that are applied but answered with an error).
     """
 
     def __init__(self, listener: socket.socket) -> None:
@@ -48,7 +48,7 @@
         )
 
     def set_object(self, name: str, document: dict) -> None:
-        """Write an object whatever its version is."""
+        """Write an object regardless of its version."""
         current = self.model.read(name)
         version = current.version if current else 0
         self.model.write(name, version, json.dumps(document).encode())
@@ -81,7 +81,7 @@
         return call.json(document_json(result.document))
 
     def _watch(self, call: Call) -> Iterable[bytes]:
-        """Answer with what changed after a revision, as soon as something did."""
+        """Respond with the changes after a revision, once there are any or the time is over."""
         after = int(call.query("after", "0"))
         ticks = int(float(call.query("seconds", "10")) / WATCH_TICK_SECONDS)
         for _ in range(ticks):
--- a/yarrowwall/standalone/standins/records.py
+++ b/yarrowwall/standalone/standins/records.py
@@ -1,4 +1,4 @@
-"""Stand-ins of a record server and of a tool service."""
+"""Stand-ins for a record server and a tool service."""
 
 import socket
 from collections.abc import Iterable
@@ -10,9 +10,10 @@
 
 
 class RecordsStandIn:
-    """A record server that answers every key.
+    """A record server that has a record for every key.
 
-    :param seconds: time one lookup takes.
+    :param seconds: Duration of a lookup.
+    :ivar served: ``kind/key`` of each answered lookup, in order.
     """
 
     def __init__(self, listener: socket.socket, seconds: float = 0.005) -> None:
@@ -28,9 +29,9 @@
 
 
 class ToolStandIn:
-    """A tool service: takes a while, or hangs if asked to.
+    """A tool service with a delay that a request may override, for example to hang.
 
-    :param seconds: time one use takes.
+    :param seconds: Default duration of a request.
     """
 
     def __init__(self, listener: socket.socket, seconds: float = 0.05) -> None:
--- a/yarrowwall/standalone/standins/web.py
+++ b/yarrowwall/standalone/standins/web.py
@@ -1,4 +1,4 @@
-"""The small HTTP server the stand-ins share."""
+"""A small HTTP server shared by the stand-ins."""
 
 import json
 import socket
@@ -14,7 +14,7 @@
 
 
 class Call:
-    """One HTTP request and its response."""
+    """An HTTP request and its response."""
 
     def __init__(self, environ: Environ, start_response: Callable[..., Any]) -> None:
         self._environ = environ
@@ -31,21 +31,21 @@
         return self._environ.get("HTTP_" + name.upper().replace("-", "_"), default)
 
     def body(self) -> Any:
-        """Return the request's JSON body."""
+        """Read and decode the JSON request body."""
         length = int(self._environ.get("CONTENT_LENGTH") or 0)
         return json.loads(self._environ["wsgi.input"].read(length))
 
     def json(
         self, document: Any, status: str = _HTTP_OK, headers: Iterable[tuple[str, str]] = ()
     ) -> list[bytes]:
-        """Answer with JSON."""
+        """Respond with a JSON document."""
         body = json.dumps(document).encode()
         length = ("Content-Length", str(len(body)))
         self._start_response(status, [("Content-Type", "application/json"), length, *headers])
         return [body]
 
     def stream(self, parts: Iterable[bytes]) -> Iterable[bytes]:
-        """Answer with an event stream."""
+        """Respond with an event stream."""
         self._start_response(_HTTP_OK, [("Content-Type", "text/event-stream")])
         return parts
 
@@ -54,7 +54,7 @@
 
 
 class StandInServer:
-    """Serves handlers by method and path until it is stopped."""
+    """Routes requests to handlers by method and path."""
 
     def __init__(self, listener: socket.socket, handlers: dict[tuple[str, str], Handler]) -> None:
         self._handlers = handlers
@@ -84,5 +84,5 @@
         self._server.kill()
 
     def wait(self) -> None:
-        """Serve until stopped."""
+        """Block until the server is stopped."""
         self._server.wait()
