--- a/features/steps/promise_steps.py
+++ b/features/steps/promise_steps.py
@@ -21,7 +21,7 @@
 from yarrowwall.standalone.core.outbox import Outbox
 from yarrowwall.standalone.simulation.deployments import DEPLOYMENTS, KINGSTON
 from yarrowwall.standalone.simulation.faults import Fault, FaultKind
-from yarrowwall.standalone.simulation.observer import Promise
+from yarrowwall.standalone.simulation.observer import Invariant
 from yarrowwall.standalone.simulation.world import RunSettings, World
 
 #: Number of seeds tried for each deployment until a mutant is detected.
@@ -52,7 +52,7 @@
 
 @then("every promise was checked")
 def all_checked(context: Context) -> None:
-    assert context.checks == set(Promise), set(Promise) - context.checks
+    assert context.checks == set(Invariant), set(Invariant) - context.checks
 
 
 @then("{count:d} generated fault schedules break no promise")
--- a/features/support/mutants.py
+++ b/features/support/mutants.py
@@ -25,7 +25,7 @@
 from yarrowwall.standalone.core.scheduling.engines import EngineView
 from yarrowwall.standalone.models.engine import EngineModel
 from yarrowwall.standalone.simulation.faults import FaultKind
-from yarrowwall.standalone.simulation.observer import Promise
+from yarrowwall.standalone.simulation.observer import Invariant
 
 #: Faults that let two nodes each consider themselves the owner.
 SPLIT_FAULTS = (
@@ -40,7 +40,7 @@
 class Mutant:
     """Replaced methods, the promises that they must break, and the faults to inject."""
 
-    breaks: tuple[Promise, ...]
+    breaks: tuple[Invariant, ...]
     replacements: tuple[tuple[Any, str, Any], ...]
     faults: tuple[FaultKind, ...] = tuple(FaultKind)
 
@@ -155,64 +155,64 @@
 
 MUTANTS = {
     "replicas accept any ballot": Mutant(
-        (Promise.HISTORY, Promise.AT_MOST_ONCE, Promise.WHOLE_ANSWER, Promise.ORDER),
+        (Invariant.HISTORY, Invariant.AT_MOST_ONCE, Invariant.WHOLE_ANSWER, Invariant.ORDER),
         ((JournalReplica, "handle_append", _append_for_any_ballot),),
         SPLIT_FAULTS,
     ),
     "requests are sent before the dispatch is chosen": Mutant(
-        (Promise.AT_MOST_ONCE,),
+        (Invariant.AT_MOST_ONCE,),
         ((ProgramOwner, "start_after_dispatch", _start_before_dispatch_is_chosen),),
     ),
     "a majority of one": Mutant(
-        (Promise.HISTORY, Promise.AT_MOST_ONCE, Promise.WHOLE_ANSWER, Promise.ORDER),
+        (Invariant.HISTORY, Invariant.AT_MOST_ONCE, Invariant.WHOLE_ANSWER, Invariant.ORDER),
         ((proposer_module, "has_quorum", _any_replica_is_a_quorum),),
     ),
     "an older ballot's tail is kept": Mutant(
-        (Promise.HISTORY, Promise.AT_MOST_ONCE, Promise.ORDER),
+        (Invariant.HISTORY, Invariant.AT_MOST_ONCE, Invariant.ORDER),
         ((ReplicaLog, "accept", _keep_the_old_tail),),
         SPLIT_FAULTS,
     ),
     "effects do not wait for a quorum": Mutant(
-        (Promise.HISTORY, Promise.WHOLE_ANSWER, Promise.AT_MOST_ONCE, Promise.NOT_RUN),
+        (Invariant.HISTORY, Invariant.WHOLE_ANSWER, Invariant.AT_MOST_ONCE, Invariant.NOT_RUN),
         ((JournaledProgram, "after_chosen", _emit_at_once),),
     ),
     "refusals are not journalled": Mutant(
-        (Promise.NOT_RUN,), ((ProgramOwner, "_refuse", _refuse_unjournalled),)
+        (Invariant.NOT_RUN,), ((ProgramOwner, "_refuse", _refuse_unjournalled),)
     ),
     "releases are forgotten": Mutant(
-        (Promise.RELEASED,), ((ProgramOwner, "_release_all", _do_nothing),)
+        (Invariant.RELEASED,), ((ProgramOwner, "_release_all", _do_nothing),)
     ),
     "the drain is skipped": Mutant(
-        (Promise.PLANNED_STOP,), ((NodeCore, "_handle_drain", _stop_at_once),)
+        (Invariant.PLANNED_STOP,), ((NodeCore, "_handle_drain", _stop_at_once),)
     ),
     "older configurations are applied": Mutant(
-        (Promise.CONFIGURATION,), ((DocumentTable, "apply", _take_any_version),)
+        (Invariant.CONFIGURATION,), ((DocumentTable, "apply", _take_any_version),)
     ),
     "configurations take effect before a majority has them": Mutant(
-        (Promise.CONFIGURATION,),
+        (Invariant.CONFIGURATION,),
         (
             (DocumentTable, "secure", _apply_at_once),
             (DocumentTable, "handle_fetched", _ready_at_once),
         ),
     ),
     "leaving engines are used": Mutant(
-        (Promise.LEAVING,), ((EngineView, "is_usable", _usable_while_leaving),)
+        (Invariant.LEAVING,), ((EngineView, "is_usable", _usable_while_leaving),)
     ),
     "budgets are not checked": Mutant(
-        (Promise.BUDGET,), ((ProgramState, "available_tokens", _unlimited_budget),)
+        (Invariant.BUDGET,), ((ProgramState, "available_tokens", _unlimited_budget),)
     ),
     "calls are admitted in any order": Mutant(
-        (Promise.ORDER,), ((ProgramOwner, "_admit", _admit_in_any_order),)
+        (Invariant.ORDER,), ((ProgramOwner, "_admit", _admit_in_any_order),)
     ),
     "broken streams count as complete": Mutant(
-        (Promise.WHOLE_ANSWER,),
+        (Invariant.WHOLE_ANSWER,),
         ((ProgramOwner, "handle_failed", _treat_broken_stream_as_complete),),
     ),
     "lost attempts run again": Mutant(
-        (Promise.AT_MOST_ONCE,), ((ProgramOwner, "_handle_lost", _run_lost_attempts_again),)
+        (Invariant.AT_MOST_ONCE,), ((ProgramOwner, "_handle_lost", _run_lost_attempts_again),)
     ),
     "engines obey any controller term": Mutant(
-        (Promise.CONFIGURATION,),
+        (Invariant.CONFIGURATION,),
         (
             (EngineModel, "order", _obey_any_term),
             (Controller, "holds_lease", _continue_after_the_lease),
@@ -225,15 +225,15 @@
         (FaultKind.FREEZE, FaultKind.KILL),
     ),
     "a shard map is finished before the logs are copied": Mutant(
-        (Promise.HISTORY, Promise.AT_MOST_ONCE, Promise.LIVENESS, Promise.NOT_RUN),
+        (Invariant.HISTORY, Invariant.AT_MOST_ONCE, Invariant.LIVENESS, Invariant.NOT_RUN),
         ((LogCopier, "begin", _copy_nothing),),
         (FaultKind.DISK_REPLACED, FaultKind.KILL, FaultKind.ZONE_CUT),
     ),
     "old load reports are trusted": Mutant(
-        (Promise.LEAVING,), ((engines_module, "REPORT_VALID_SECONDS", 1e9),)
+        (Invariant.LEAVING,), ((engines_module, "REPORT_VALID_SECONDS", 1e9),)
     ),
     "history is forgotten": Mutant(
-        (Promise.HISTORY,), ((ProgramState, "_apply_accepted", _forget_history),)
+        (Invariant.HISTORY,), ((ProgramState, "_apply_accepted", _forget_history),)
     ),
 }
 
--- a/yarrowwall/standalone/simulation/callers.py
+++ b/yarrowwall/standalone/simulation/callers.py
@@ -37,7 +37,7 @@
 )
 from yarrowwall.standalone.core.identifiers import make_program_id
 from yarrowwall.standalone.simulation.nodes import BrokenConnection, SimulatedNode
-from yarrowwall.standalone.simulation.observer import Observer, Promise
+from yarrowwall.standalone.simulation.observer import Invariant, Observer
 from yarrowwall.standalone.simulation.workloads import (
     MODEL,
     Arrival,
@@ -146,7 +146,7 @@
             if wait is None:
                 return reply
             yield self._world.env.timeout(wait)
-        self._world.observer.check(Promise.LIVENESS, False, f"{self._name} got no answer")
+        self._world.observer.check(Invariant.LIVENESS, False, f"{self._name} got no answer")
         raise ProgramOver
 
     # The program
@@ -261,7 +261,7 @@
                 return
             yield self._world.env.timeout(wait)
         message = f"{self._program_id}/{number} got no answer"
-        self._world.observer.check(Promise.LIVENESS, False, message)
+        self._world.observer.check(Invariant.LIVENESS, False, message)
         raise ProgramOver
 
     def _try_call(self, request: SubmitCall, tries: int) -> Process:
@@ -284,7 +284,7 @@
             return
         expected = (ErrorType.BUDGET_EXHAUSTED, ErrorType.PROGRAM_ENDED, ErrorType.INVALID_REQUEST)
         message = f"{self._program_id}/{number}: {reply.error_type} {reply.message}"
-        self._world.observer.check(Promise.HISTORY, reply.error_type in expected, message)
+        self._world.observer.check(Invariant.HISTORY, reply.error_type in expected, message)
         raise ProgramOver
 
 
@@ -315,7 +315,7 @@
     reply = yield gateway.ask(request_id, request)
     if isinstance(reply, ReplyToLookup) and reply.body is not None:
         holds = reply.body == f"record/{number}".encode()
-        world.observer.check(Promise.WHOLE_ANSWER, holds, f"lookup {number}: {reply.body!r}")
+        world.observer.check(Invariant.WHOLE_ANSWER, holds, f"lookup {number}: {reply.body!r}")
 
 
 class OperatorCaller:
--- a/yarrowwall/standalone/simulation/observer.py
+++ b/yarrowwall/standalone/simulation/observer.py
@@ -28,7 +28,7 @@
 CONFIGURATION_SECONDS = 5.0
 
 
-class Promise(StrEnum):
+class Invariant(StrEnum):
     """The ten points of "what must always hold"."""
 
     ORDER = "order"
@@ -104,7 +104,7 @@
         """Return the digest of everything seen."""
         return self._trace.hexdigest()
 
-    def check(self, promise: Promise, holds: bool, message: str) -> None:
+    def check(self, promise: Invariant, holds: bool, message: str) -> None:
         """Count one evaluation of an invariant; note a violation."""
         self.checks[promise] += 1
         if not holds:
@@ -151,8 +151,8 @@
         whole = call.texts.get(reply.attempt) == reply.text
         same = call.answer is None or call.answer == reply.text
         name = f"{program_id}/{number}"
-        self.check(Promise.WHOLE_ANSWER, own and whole, f"{name} got an answer that no run gave")
-        self.check(Promise.WHOLE_ANSWER, same, f"{name} got two different answers")
+        self.check(Invariant.WHOLE_ANSWER, own and whole, f"{name} got an answer that no run gave")
+        self.check(Invariant.WHOLE_ANSWER, same, f"{name} got two different answers")
         if call.answer is None:
             self.calls_completed += 1
         call.answer = reply.text
@@ -163,7 +163,7 @@
         if reply.error_type in (ErrorType.NOT_RUN, ErrorType.BUDGET_EXHAUSTED):
             # Another copy of the call that is still open may have run it.
             holds = call.starts == 0 or bool(call.open_requests) or call.answer is not None
-            self.check(Promise.NOT_RUN, holds, f"{program_id}/{number} was refused but ran")
+            self.check(Invariant.NOT_RUN, holds, f"{program_id}/{number} was refused but ran")
             call.is_refused = not call.open_requests
             if call.is_refused:
                 self._check_not_passed(program_id, number)
@@ -172,7 +172,7 @@
         """A call that may still be made must not have been passed by a later one."""
         last_started = self.programs[program_id].last_started
         message = f"call {last_started} of {program_id} ran, call {number} was refused"
-        self.check(Promise.ORDER, last_started <= number, message)
+        self.check(Invariant.ORDER, last_started <= number, message)
 
     def program_ended(self, program_id: str) -> None:
         """A caller was told that its program has ended."""
@@ -190,23 +190,23 @@
         self.trace("asked", engine.engine_id, key, started)
         late = 0.0 if engine.leaving_at is None else self._clock.now - engine.leaving_at
         self.check(
-            Promise.LEAVING, late <= LEAVING_SECONDS, f"{engine.engine_id} left {late:.1f} s ago"
+            Invariant.LEAVING, late <= LEAVING_SECONDS, f"{engine.engine_id} left {late:.1f} s ago"
         )
         program = self.programs.get(key.program_id)
         if not started or program is None:
             return
         call = program.calls[key.call_number]
-        self.check(Promise.NOT_RUN, not call.is_refused, f"{name} ran after its refusal")
+        self.check(Invariant.NOT_RUN, not call.is_refused, f"{name} ran after its refusal")
         call.starts += 1
         once = call.repeatable or call.starts == 1
-        self.check(Promise.AT_MOST_ONCE, once, f"{name} ran {call.starts} times")
+        self.check(Invariant.AT_MOST_ONCE, once, f"{name} ran {call.starts} times")
         self._check_order(program, key.call_number, name)
         self._check_history(program, key.call_number, list(effect.prompt), name)
 
     def _check_order(self, program: WatchedProgram, number: int, name: str) -> None:
         """No call starts after a later one has; an earlier one may have been lost unstarted."""
         in_order = number >= program.last_started
-        self.check(Promise.ORDER, in_order, f"{name} ran after call {program.last_started}")
+        self.check(Invariant.ORDER, in_order, f"{name} ran after call {program.last_started}")
         program.last_started = max(program.last_started, number)
 
     def _check_history(
@@ -219,12 +219,12 @@
             if call is None:
                 continue
             sent = prompt[position : position + len(call.sent)]
-            self.check(Promise.HISTORY, sent == call.sent, f"{name} misses call {earlier}")
+            self.check(Invariant.HISTORY, sent == call.sent, f"{name} misses call {earlier}")
             position += len(call.sent)
             if earlier < number:
                 position += self._check_recorded_answer(call, prompt, position, name, earlier)
         rest = prompt[position:]
-        self.check(Promise.HISTORY, not rest, f"{name} has {len(rest)} foreign messages")
+        self.check(Invariant.HISTORY, not rest, f"{name} has {len(rest)} foreign messages")
 
     def _check_recorded_answer(
         self, call: WatchedCall, prompt: list[ChatMessage], position: int, name: str, earlier: int
@@ -234,10 +234,10 @@
         recorded = found is not None and found.role == "assistant"
         if call.answer is not None:
             holds = recorded and found is not None and found.content == call.answer
-            self.check(Promise.HISTORY, holds, f"{name} misses the answer of call {earlier}")
+            self.check(Invariant.HISTORY, holds, f"{name} misses the answer of call {earlier}")
         elif recorded and found is not None:
             holds = found.content in call.texts.values()
-            self.check(Promise.HISTORY, holds, f"{name} has a foreign answer to call {earlier}")
+            self.check(Invariant.HISTORY, holds, f"{name} has a foreign answer to call {earlier}")
         return 1 if recorded else 0
 
     def engine_computed(self, engine_id: str, progress: Progress) -> None:
@@ -265,7 +265,7 @@
             program.spent += tokens
             holds = program.spent <= program.budget
             message = f"{program_id} spent {program.spent} of {program.budget}"
-            self.check(Promise.BUDGET, holds, message)
+            self.check(Invariant.BUDGET, holds, message)
             program_id = program.parent
 
     def engine_crashed(self, engine_id: str) -> None:
@@ -276,7 +276,7 @@
         """A controller's order reached an engine."""
         highest = self._highest_terms.get(engine_id, 0)
         self.check(
-            Promise.CONFIGURATION,
+            Invariant.CONFIGURATION,
             not accepted or term >= highest,
             f"{engine_id} obeyed term {term} after {highest}",
         )
@@ -301,14 +301,14 @@
         known = self._versions.get(node.node_id, 0)
         if version != known:
             self.check(
-                Promise.CONFIGURATION, version > known, f"{node.node_id} went back to {version}"
+                Invariant.CONFIGURATION, version > known, f"{node.node_id} went back to {version}"
             )
             self._versions[node.node_id] = version
         assert node.core is not None
         if node.core.documents.is_ready and node.node_id in self._floor_at_start:
             floor = self._floor_at_start.pop(node.node_id)
             message = f"{node.node_id} serves {version}, {floor} was accepted before it started"
-            self.check(Promise.CONFIGURATION, version >= floor, message)
+            self.check(Invariant.CONFIGURATION, version >= floor, message)
 
     def check_versions(self, nodes: list["SimulatedNode"], healthy_since: float) -> None:
         """Every live node has every version that was accepted long enough ago."""
@@ -324,13 +324,13 @@
             if node.core is not None and node.core.documents.is_ready:
                 version = self._versions[node.node_id]
                 message = f"{node.node_id} has {version}, {max(due)} was accepted"
-                self.check(Promise.CONFIGURATION, version >= max(due), message)
+                self.check(Invariant.CONFIGURATION, version >= max(due), message)
 
     def node_drained(self, node_id: str, open_requests: int) -> None:
         """A process ends after a planned stop."""
         self.trace("drained", node_id)
         self.check(
-            Promise.PLANNED_STOP,
+            Invariant.PLANNED_STOP,
             open_requests == 0,
             f"{node_id} cut {open_requests} requests short",
         )
@@ -340,7 +340,7 @@
         for engine_id, held in held_by_engine.items():
             ended = [name for name in held if self._has_ended(name)]
             message = f"{engine_id} holds cache of ended programs {ended[:3]}"
-            self.check(Promise.RELEASED, not ended, message)
+            self.check(Invariant.RELEASED, not ended, message)
 
     def _has_ended(self, program_id: str) -> bool:
         program = self.programs.get(program_id)
@@ -349,7 +349,7 @@
     def check_nothing_held(self, held_by_engine: dict[str, list[str]]) -> None:
         """Long after the last call nothing is held for anybody."""
         for engine_id, held in held_by_engine.items():
-            self.check(Promise.RELEASED, not held, f"{engine_id} still holds {held[:3]}")
+            self.check(Invariant.RELEASED, not held, f"{engine_id} still holds {held[:3]}")
 
 
 def _may_still_run(reply: ErrorReply) -> bool:
--- a/yarrowwall/standalone/simulation/world.py
+++ b/yarrowwall/standalone/simulation/world.py
@@ -40,7 +40,7 @@
 from yarrowwall.standalone.simulation.faults import Fault, FaultInjector, FaultKind, generate_faults
 from yarrowwall.standalone.simulation.network import Network
 from yarrowwall.standalone.simulation.nodes import Disk, SimulatedNode, Surroundings
-from yarrowwall.standalone.simulation.observer import Observer, Promise
+from yarrowwall.standalone.simulation.observer import Invariant, Observer
 from yarrowwall.standalone.simulation.workloads import MODEL, make_arrivals
 
 #: The clock does not start at nought, so that no time is mistaken for "never".
@@ -219,7 +219,7 @@
         ids = [replica.replica_id for replica in shard_map.replicas]
         for new_id in self._replacements:
             done = new_id in ids and not shard_map.next_replicas
-            self.observer.check(Promise.LIVENESS, done, f"{new_id} did not get its place")
+            self.observer.check(Invariant.LIVENESS, done, f"{new_id} did not get its place")
 
     def _publish_configuration(self) -> None:
         serving = ServingIntent(desk="all", model=MODEL, zones=list(self.settings.deployment.zones))
@@ -261,7 +261,7 @@
                 self.env.process(OperatorCaller(callers, name).run(until))
         done = self.env.all_of(processes)
         yield done | self.env.timeout(span + LIVENESS_SECONDS)
-        self.observer.check(Promise.LIVENESS, done.triggered, "programs did not finish")
+        self.observer.check(Invariant.LIVENESS, done.triggered, "programs did not finish")
         yield self.env.timeout(QUIET_SECONDS)
 
     def _faults(self, span: float) -> list[Fault]:
