--- a/yarrowwall/standalone/simulation/__init__.py
+++ b/yarrowwall/standalone/simulation/__init__.py
@@ -1,5 +1,5 @@
 """Deterministic simulation of a deployment on a virtual clock.
 
 The nodes are the same :class:`yarrowwall.standalone.core.node.NodeCore` that the runtime
-drives. One seeded generator decides everything that is random.
+uses. All randomness comes from generators that are seeded with the run's seed.
 """
--- a/yarrowwall/standalone/simulation/backends.py
+++ b/yarrowwall/standalone/simulation/backends.py
@@ -1,4 +1,4 @@
-"""Engines, record servers and the platform in the simulated world."""
+"""Simulated engines, record servers and platform."""
 
 from collections import deque
 from dataclasses import dataclass
@@ -51,31 +51,31 @@
     from yarrowwall.standalone.simulation.observer import Observer
 
 POLL_SECONDS = 0.5
-#: Age of the reports that engines give.
+#: Age of the engines' load reports.
 REPORT_LAG_SECONDS = 0.7
 CONNECT_TIMEOUT_SECONDS = 2.0
-#: Silence after which a node takes a connection for broken.
+#: Time without data after which a node considers a connection broken.
 SILENCE_SECONDS = 3.0
 RECORD_SECONDS = 0.008
-#: One cache event in so many is never published.
+#: Cache events whose sequence number is a multiple of this aren't published.
 EVENT_GAP = 7
 
 
 @dataclass(frozen=True)
 class _Connection:
-    """A node that waits for an attempt's stream."""
+    """Connection from a node process, which ends with the process."""
 
     node: "SimulatedNode"
     incarnation: int
 
     def post(self, event: object) -> None:
-        """Hand an event to the node, if it is still the same process."""
+        """Post an event to the node if its process hasn't been restarted."""
         if self.node.incarnation == self.incarnation:
             self.node.post(event)
 
 
 class SimulatedEngine:
-    """One model engine."""
+    """A simulated model engine."""
 
     def __init__(
         self,
@@ -105,7 +105,7 @@
     # The model's time
 
     def _run(self) -> None:
-        """Run the model up to now and act on what it produced."""
+        """Advance the model to the current time and handle its outputs."""
         for output in self.model.advance(self._env.now):
             self._handle_output(output)
 
@@ -209,7 +209,7 @@
             self._connections.setdefault(str(effect.key), []).append(connection)
 
     def _deliver(self, node: "SimulatedNode", action: object) -> None:
-        """Run a control request at the engine if it can be reached."""
+        """Deliver a control request if the engine is reachable."""
         if not self._network.is_connected(node.zone, self.zone):
             return
         delay = self._network.latency(node.zone, self.zone)
@@ -258,7 +258,7 @@
     # Reports
 
     def snapshot(self) -> None:
-        """Keep the load of now for reports that lag."""
+        """Record the current load for delayed reports."""
         if not self.is_up:
             return
         self._run()
@@ -268,7 +268,7 @@
             self._reports.popleft()
 
     def poll(self, node: "SimulatedNode", sequence: int) -> int:
-        """Report to a node; return the sequence of the last cache event it was given."""
+        """Report to a node; return the sequence number of the last cache event considered."""
         if not self.is_up or not self._network.is_connected(node.zone, self.zone):
             node.post(EngineUnreachable(self.engine_id))
             return sequence
@@ -301,7 +301,7 @@
     # Failures
 
     def crash(self) -> None:
-        """Lose the memory; every stream breaks."""
+        """Stop the engine, lose its memory and break its streams."""
         self._run()
         self.is_up = False
         self._observer.engine_crashed(self.engine_id)
@@ -312,21 +312,21 @@
         self._reports.clear()
 
     def restart(self) -> None:
-        """Come back with empty memory; a machine that leaves still leaves."""
+        """Restart with empty memory; the leaving state persists."""
         self.model = EngineModel(self._parameters, self._models, self._env.now)
         self.model.is_leaving = self.leaving_at is not None
         self._armed = None
         self.is_up = True
 
     def leave(self) -> None:
-        """Announce leaving; running requests go on."""
+        """Refuse new requests; running ones continue."""
         self._leaves += 1
         self.model.is_leaving = True
         if self.leaving_at is None:
             self.leaving_at = self._env.now
 
     def stay(self) -> None:
-        """Take new work again, once as many leaves have been undone."""
+        """Undo one :meth:`leave`; accept requests again once all are undone."""
         self._leaves -= 1
         if self._leaves == 0:
             self.model.is_leaving = False
@@ -334,13 +334,13 @@
 
 
 def attempt_key(request_id: str) -> AttemptKey:
-    """Return the attempt an engine's request id names."""
+    """Parse the key of an attempt from an engine's request id."""
     program_id, call_number, attempt = request_id.rsplit("/", 2)
     return AttemptKey(program_id, int(call_number), int(attempt))
 
 
 class SimulatedRecords:
-    """One record server."""
+    """A simulated record server."""
 
     def __init__(self, zone: str, network: Network) -> None:
         self.zone = zone
@@ -348,7 +348,7 @@
         self._network = network
 
     def send(self, node: "SimulatedNode", effect: SendLookup) -> None:
-        """Answer a lookup, or fail it."""
+        """Answer a lookup, or fail it if the server is unreachable."""
         connection = _Connection(node, node.incarnation)
         request = effect.request
         works = self.is_up and self._network.is_connected(node.zone, self.zone)
@@ -360,9 +360,9 @@
 
 
 class SimulatedPlatform:
-    """The platform's object service and its failures.
+    """The simulated platform's object service and its failures.
 
-    :ivar lose_answers: so many coming writes take effect without an answer.
+    :ivar lose_answers: Number of next writes whose answers are lost.
     """
 
     def __init__(self, network: Network) -> None:
@@ -391,7 +391,7 @@
         self._answer(node, event, self._round_trip())
 
     def write(self, node: "SimulatedNode", effect: WritePlatform) -> None:
-        """Take a write; the answer may be lost after it took effect."""
+        """Apply a write; its answer may be lost."""
         if self.is_down:
             event = PlatformWritten(effect.operation_id, WriteOutcome.UNKNOWN, None)
             self._answer(node, event, CONNECT_TIMEOUT_SECONDS)
@@ -411,7 +411,7 @@
         self._answer(node, PlatformWritten(effect.operation_id, outcome, document), delay)
 
     def set_object(self, name: str, body: bytes) -> None:
-        """Write an object as the platform's own."""
+        """Write an object regardless of its version, as the platform itself does."""
         current = self.model.read(name)
         version = current.version if current else 0
         result = self.model.write(name, version, body)
@@ -424,25 +424,25 @@
                 self._answer(node, PlatformDocument(document), self._round_trip())
 
     def watch(self, node: "SimulatedNode", enabled: bool) -> None:
-        """Start or end a node's watch; a new watch gets every object first."""
+        """Start or end a node's watch; a new watch first sends all objects."""
         self._watchers.pop(node.node_id, None)
         if enabled:
             self._watchers[node.node_id] = node
             self.tell_all(node)
 
     def tell_all(self, node: "SimulatedNode") -> None:
-        """Give a watcher every object, as after a reconnection."""
+        """Send all objects to a watcher, as after a reconnect."""
         if self.is_down:
             return
         for document in self.model.objects():
             self._answer(node, PlatformDocument(document), self._round_trip())
 
     def come_back(self) -> None:
-        """End an outage; watchers reconnect."""
+        """End an outage and reconnect the watchers."""
         self.is_down = False
         for node in list(self._watchers.values()):
             self.tell_all(node)
 
     def forget(self, node_id: str) -> None:
-        """End the watch of a node that died."""
+        """Remove the watch of a stopped node."""
         self._watchers.pop(node_id, None)
--- a/yarrowwall/standalone/simulation/callers.py
+++ b/yarrowwall/standalone/simulation/callers.py
@@ -1,4 +1,4 @@
-"""Callers and operators of the simulated world, as simpy processes."""
+"""Simulated callers and operators as simpy processes."""
 
 from collections.abc import Generator
 from contextlib import suppress
@@ -48,34 +48,34 @@
     message_text,
 )
 
-#: Seconds after which a caller hangs up and asks another gateway.
+#: Time after which a caller closes its connection and retries, possibly at another gateway.
 PATIENCE_SECONDS = 90.0
 RETRY_SECONDS = 0.5
-#: Requests after which a caller gives up on a call.
+#: Maximum number of requests for one call.
 MOST_TRIES = 400
 
 Process = Generator[simpy.Event, Any, Any]
 
 
 class Behaviour(StrEnum):
-    """How a caller treats its program."""
+    """Behaviour of a caller towards its program."""
 
     NORMAL = "normal"
-    #: Goes away without ending the program.
+    #: Stops halfway without ending the program.
     ABANDONS = "abandons"
-    #: Makes calls until it is refused.
+    #: Makes calls until one is refused.
     LOOPS = "loops"
-    #: A tool hangs for longer than a program may idle.
+    #: A tool hangs for longer than the idle limit of a program.
     TOOL_HANGS = "tool_hangs"
-    #: Sends all its calls at once, the last one first.
+    #: Sends all calls concurrently, in reverse order.
     PIPELINES = "pipelines"
-    #: Ends the program while a sub-agent still runs.
+    #: Ends the program while a child program still runs.
     ORPHANS_CHILD = "orphans_child"
 
 
 @dataclass
 class Latency:
-    """Latency of one finished program, tool pauses taken off."""
+    """Latency of a finished program without its tool pauses."""
 
     seconds: float
     urgent: bool
@@ -83,7 +83,10 @@
 
 @dataclass(frozen=True)
 class CallerWorld:
-    """What callers use of the world."""
+    """Parts of the simulated world that callers use.
+
+    :ivar hang_seconds: Duration of a hanging tool.
+    """
 
     env: simpy.Environment
     random: Random
@@ -98,7 +101,7 @@
 
 
 class ProgramCaller:
-    """One program and its caller."""
+    """A program's caller."""
 
     def __init__(
         self, world: CallerWorld, name: str, zone: str, plan: ProgramPlan, parent: str | None = None
@@ -117,13 +120,13 @@
     # Requests
 
     def _gateway(self, tries: int) -> SimulatedNode:
-        """Return a gateway: of the own zone at first, any other after a failure."""
+        """Return a gateway of the caller's zone for the first try, any gateway after that."""
         nodes = self._world.nodes
         near = [node for node in nodes if node.zone == self._zone]
         return self._world.random.choice(near if tries == 0 else nodes)
 
     def _ask(self, request: Request, tries: int, request_id: str) -> Process:
-        """Send one request; the value is the reply or a broken connection."""
+        """Send a request once; the value is its reply or :class:`BrokenConnection`."""
         gateway = self._gateway(tries)
         answer = gateway.ask(request_id, CallerRequest(request_id, request))
         timeout = self._world.env.timeout(PATIENCE_SECONDS)
@@ -139,7 +142,7 @@
         return f"{self._name}#{self._requests}"
 
     def _insist(self, request: Request) -> Process:
-        """Ask until there is a final reply."""
+        """Retry a request until it has a final reply."""
         for tries in range(MOST_TRIES):
             reply = yield from self._ask(request, tries, self._next_request_id())
             wait = _wait_before_retry(reply)
@@ -152,7 +155,7 @@
     # The program
 
     def run(self, behaviour: Behaviour = Behaviour.NORMAL) -> Process:
-        """Run the program to its end."""
+        """Open the program, run its steps and end it."""
         started = self._world.env.now
         try:
             yield from self._open()
@@ -182,7 +185,7 @@
             self._world.observer.program_ended(self._program_id)
 
     def _pipeline(self) -> Process:
-        """Send every call at once; they must run in their order all the same."""
+        """Send all calls concurrently; the scheduler must still run them in order."""
         env = self._world.env
         numbered = list(enumerate(self._plan.calls(), start=1))
         yield env.all_of(
@@ -276,7 +279,7 @@
         return reply
 
     def _conclude(self, number: int, reply: object) -> None:
-        """Go on after an answer or an unknown outcome; stop otherwise."""
+        """Continue after an answer or an unknown outcome; stop the program otherwise."""
         if isinstance(reply, CallReply):
             return
         assert isinstance(reply, ErrorReply)
@@ -289,7 +292,7 @@
 
 
 def _wait_before_retry(reply: object) -> float | None:
-    """Return how long to wait before asking again; None if the reply is final."""
+    """Return the seconds to wait before a retry; None if the reply is final."""
     if isinstance(reply, BrokenConnection):
         return RETRY_SECONDS
     if isinstance(reply, ErrorReply) and reply.retry_after:
@@ -298,7 +301,7 @@
 
 
 def look_up_for_ever(world: CallerWorld, rate: float, until: float) -> Process:
-    """Make lookups, one in five urgent; each must be answered once, with its record."""
+    """Make random lookups, one in five urgent, and check the answered records."""
     number = 0
     while world.env.now < until:
         yield world.env.timeout(world.random.expovariate(rate))
@@ -319,7 +322,7 @@
 
 
 class OperatorCaller:
-    """An operator who changes a desk's budget now and then, often on a stale view."""
+    """An operator who changes budgets or adapters at random, often with a stale plan."""
 
     def __init__(self, world: CallerWorld, name: str) -> None:
         self._world = world
@@ -327,7 +330,7 @@
         self._commands = 0
 
     def run(self, until: float) -> Process:
-        """Apply and confirm until a time."""
+        """Apply and confirm changes until a time."""
         while self._world.env.now < until:
             yield self._world.env.timeout(self._world.random.expovariate(1 / 15.0))
             yield from self._change()
@@ -341,7 +344,7 @@
         return answer.value if answer.triggered and answer.processed else None
 
     def insist(self, command: OperatorCommand) -> Process:
-        """Give a command until it is done."""
+        """Retry a command until it is done."""
         while True:
             reply = yield from self._command(command)
             if isinstance(reply, OperatorReply) and reply.outcome is OperatorOutcome.DONE:
@@ -349,7 +352,7 @@
             yield self._world.env.timeout(RETRY_SECONDS)
 
     def _next_intents(self) -> Intents:
-        """Return another budget, or another adapter beside the model."""
+        """Return intents with a new budget or with a new adapter for the model."""
         desk = f"desk-{self._world.random.randint(1, 3)}"
         if self._world.random.random() < 0.5:
             tokens = self._world.random.randint(10_000, 90_000)
@@ -374,9 +377,9 @@
 def run_arrivals(
     world: CallerWorld, zones: tuple[str, ...], arrivals: list[Arrival], odd_share: float
 ) -> Process:
-    """Start each program at its time; the value is the list of its processes.
+    """Start each program at its time and wait until all have finished.
 
-    :param odd_share: share of programs whose callers do not behave normally.
+    :param odd_share: Fraction of programs whose callers don't behave normally.
     """
     odd = [behaviour for behaviour in Behaviour if behaviour is not Behaviour.NORMAL]
     processes = []
--- a/yarrowwall/standalone/simulation/deployments.py
+++ b/yarrowwall/standalone/simulation/deployments.py
@@ -1,4 +1,4 @@
-"""The users' two deployments, with the sizes of today."""
+"""The two deployments that are simulated, with their current sizes."""
 
 from dataclasses import dataclass, field
 
@@ -7,12 +7,12 @@
 
 @dataclass(frozen=True)
 class Deployment:
-    """Zones, machines and latencies of one site.
+    """Zones, machines and latencies of a site.
 
-    :param nodes_per_zone: nodes in each zone; the first has a journal.
-    :param zone_latency: one way between zones, seconds.
-    :param client_latency: one way between callers and nodes, seconds.
-    :param wasted_cache_weight: how heavily wasted cache weighs beside latency.
+    :param nodes_per_zone: Nodes in each zone, the first of which has a journal.
+    :param zone_latency: One-way latency between zones in seconds.
+    :param client_latency: One-way latency between callers and nodes in seconds.
+    :param wasted_cache_weight: Weight of wasted cache relative to latency in placement costs.
     """
 
     name: str
@@ -26,7 +26,7 @@
     engine: EngineParameters = field(default_factory=EngineParameters)
 
 
-#: One way between machines of the same zone, seconds.
+#: One-way latency in seconds between machines of the same zone.
 LOCAL_LATENCY = 0.0002
 
 NAIROBI = Deployment(
--- a/yarrowwall/standalone/simulation/faults.py
+++ b/yarrowwall/standalone/simulation/faults.py
@@ -1,4 +1,4 @@
-"""Faults: what fails, when, and for how long; generated from a seed or given."""
+"""Fault injection with generated or given schedules of faults."""
 
 from collections import Counter
 from collections.abc import Callable, Generator
@@ -15,7 +15,7 @@
 
 
 class FaultKind(StrEnum):
-    """What can fail."""
+    """Kinds of faults."""
 
     KILL = "kill"
     FREEZE = "freeze"
@@ -33,11 +33,11 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """One fault.
+    """A scheduled fault.
 
-    :param at: seconds after the start.
-    :param duration: seconds until it heals.
-    :param target: chooses the machine or zone; taken modulo their number.
+    :param at: Seconds after the start.
+    :param duration: Seconds until it is undone.
+    :param target: Index of the machine or zone, modulo their number.
     """
 
     kind: FaultKind
@@ -49,9 +49,12 @@
 def generate_faults(
     random: Random, kinds: tuple[FaultKind, ...], until: float, mean_gap: float
 ) -> list[Fault]:
-    """Return faults over a time span.
+    """Generate a schedule of faults.
 
-    One in three comes right after another one, often at the same machine.
+    About a third of the faults follow another one within 2 seconds, half of those on the same
+    target.
+
+    :param mean_gap: Mean seconds between the other faults.
     """
     faults: list[Fault] = []
     at = 5.0
@@ -70,7 +73,11 @@
 
 
 class FaultInjector:
-    """Carries out faults and heals them."""
+    """Injects faults and undoes them.
+
+    :ivar active: Number of faults in effect.
+    :ivar healthy_since: Time when the last fault was undone.
+    """
 
     def __init__(
         self,
@@ -98,7 +105,7 @@
         self.healthy_since = env.now
 
     def run(self, faults: list[Fault]) -> Generator[simpy.Event, object, None]:
-        """Inject each fault at its time; end when all have healed."""
+        """Inject each fault at its time and wait until all are undone."""
         started = self._env.now
         processes = []
         for fault in sorted(faults, key=lambda fault: fault.at):
@@ -118,7 +125,7 @@
         self.healthy_since = self._env.now
 
     def _begin(self, fault: Fault) -> Callable[[], None]:
-        """Start a fault; return what heals it."""
+        """Start a fault and return the function that undoes it."""
         node = self._nodes[fault.target % len(self._nodes)]
         engine = self._engines[fault.target % len(self._engines)]
         match fault.kind:
@@ -149,7 +156,7 @@
         return lambda: None if node.is_up else node.start()
 
     def _replace_disk(self, node: SimulatedNode) -> Callable[[], None]:
-        """Lose a disk; an operator puts the new, empty replica in its place."""
+        """Kill a node and replace its disk; on restart an operator replaces its replica."""
         node.kill()
         if node.disk is None:
             return lambda: None if node.is_up else node.start()
@@ -165,7 +172,7 @@
         return start
 
     def _restart_when_stopped(self, node: SimulatedNode) -> None:
-        """Start the node again once its planned stop is over."""
+        """Restart the node once its drain has finished."""
         if not node.is_up:
             node.start()
             return
@@ -173,7 +180,7 @@
             self._network.after(1.0, lambda: self._restart_when_stopped(node))
 
     def _cut(self, target: int, both_ways: bool) -> Callable[[], None]:
-        """Cut a zone off from all others, or one direction between two zones."""
+        """Isolate a zone from all others, or cut one direction between two zones."""
         zone = self._zones[target % len(self._zones)]
         others = [other for other in self._zones if other != zone]
         if both_ways:
--- a/yarrowwall/standalone/simulation/lower_bound.py
+++ b/yarrowwall/standalone/simulation/lower_bound.py
@@ -1,4 +1,4 @@
-"""The lower bound: every call alone on an empty engine with its prefix cached."""
+"""Lower bound of latency: each call runs alone on an idle engine with a cached prefix."""
 
 from dataclasses import dataclass
 from random import Random
@@ -14,13 +14,13 @@
 )
 from yarrowwall.standalone.simulation.world import RunSettings
 
-#: Mean answer length as a share of what is allowed; see ``models.engine.answer_tokens``.
+#: Mean answer length as a fraction of the maximum; see ``models.engine.answer_tokens``.
 MEAN_ANSWER_SHARE = 0.75
 
 
 @dataclass(frozen=True)
 class LowerBound:
-    """Latencies that no placement can beat."""
+    """Lower bounds of the latencies under any placement policy."""
 
     program: Percentiles
     urgent: Percentiles
@@ -34,7 +34,7 @@
 
 
 def _program_seconds(plan: ProgramPlan, engine: EngineParameters) -> float:
-    """Return a program's time; tool pauses are not counted, the system prompt is cached."""
+    """Return a program's duration without tool pauses and with a cached system prompt."""
     total = 0.0
     for step in plan.steps:
         if isinstance(step, CallStep):
@@ -45,7 +45,7 @@
 
 
 def lower_bound(settings: RunSettings) -> LowerBound:
-    """Return the bound for the very programs of a run."""
+    """Return the bound for the same programs as in a run with these settings."""
     random = Random(f"workload/{settings.seed}")
     arrivals = make_arrivals(settings.deployment, random, settings.programs, settings.load)
     engine = settings.deployment.engine
--- a/yarrowwall/standalone/simulation/nodes.py
+++ b/yarrowwall/standalone/simulation/nodes.py
@@ -1,4 +1,4 @@
-"""A simulated node process: the core, its disk, and the ways it can fail."""
+"""Simulated node processes with their cores, disks and failures."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -45,15 +45,15 @@
 from yarrowwall.standalone.simulation.observer import Observer
 
 DISK_SECONDS = 0.001
-#: As ``yarrowwall.standalone.runtime.service.DRAIN_GRACE_SECONDS``.
+#: Same as ``yarrowwall.standalone.runtime.service.DRAIN_GRACE_SECONDS``.
 DRAIN_GRACE_SECONDS = 0.3
 
 
 @dataclass
 class Disk:
-    """A data folder: survives its process, not its own replacement.
+    """A data folder, which survives restarts of its process.
 
-    :ivar records: durable records, oldest first.
+    :ivar records: Durable records, oldest first.
     """
 
     replica_id: str
@@ -69,15 +69,15 @@
 
 @dataclass(frozen=True)
 class BrokenConnection:
-    """What a caller gets whose gateway died or could not be reached."""
+    """Result of a request whose gateway has stopped or didn't answer in time."""
 
 
 @dataclass(frozen=True)
 class Surroundings:
-    """What every node shares.
+    """Objects and settings that all nodes share.
 
-    :ivar nodes: all nodes by id.
-    :ivar core_class: the core, or a mutant of it.
+    :ivar nodes: All nodes by id.
+    :ivar core_class: The node core, or a mutant of it.
     """
 
     env: simpy.Environment
@@ -98,7 +98,7 @@
 
 
 class SimulatedNode:
-    """One machine of the system and the process on it."""
+    """A machine and its node process."""
 
     def __init__(self, node_id: str, zone: str, disk: Disk | None, world: Surroundings) -> None:
         self.node_id = node_id
@@ -118,11 +118,11 @@
 
     @property
     def is_up(self) -> bool:
-        """Whether a process runs here."""
+        """Whether the process is running."""
         return self.core is not None
 
     def start(self) -> None:
-        """Start a process from what the disk holds."""
+        """Start a process that recovers its state from the disk."""
         self.incarnation += 1
         world = self._world
         replica = None
@@ -148,7 +148,7 @@
         self.post(NodeStarted())
 
     def kill(self) -> None:
-        """End the process at once: memory is lost, of the writes under way some prefix is kept."""
+        """Kill the process: its memory is lost, and a random prefix of pending writes is kept."""
         if self.core is None:
             return
         kept = self._world.random.randint(0, len(self._writes))
@@ -166,11 +166,11 @@
             self._succeed_later(event, BrokenConnection())
 
     def freeze(self) -> None:
-        """Pause the process; it goes on later as if nothing had been."""
+        """Pause the process; its memory and incoming events are kept."""
         self.is_frozen = True
 
     def thaw(self) -> None:
-        """Go on; everything that arrived meanwhile is handled now, in its order."""
+        """Resume the process and handle the events that arrived meanwhile, in order."""
         if not self.is_frozen:
             return
         self.is_frozen = False
@@ -182,17 +182,17 @@
             self.post(TimeAdvanced())
 
     def replace_disk(self, replica_id: str) -> None:
-        """Put in an empty disk; the process on it is a new replica."""
+        """Replace the disk by an empty one with a new replica id."""
         self.disk = Disk(replica_id)
 
     def drain(self) -> None:
-        """Ask the process to stop once everything here has ended."""
+        """Ask the process to finish its work and stop."""
         self.post(DrainRequested())
 
     # Events and effects
 
     def post(self, event: object) -> None:
-        """Hand an event to the core and carry out its effects."""
+        """Pass an event to the core and execute its effects, or queue it while frozen."""
         if self.core is None:
             return
         if self.is_frozen:
@@ -253,7 +253,7 @@
         self._world.network.send(self.zone, target.zone, lambda: target.post(event))
 
     def _persist(self, effect: PersistThenSend) -> None:
-        """Write in order; the answer leaves once the record is durable."""
+        """Queue a write; its message is sent once the record is durable."""
         self._writes.append(_Write(effect.record, effect.node_id, effect.message))
         incarnation = self.incarnation
         self._world.network.after(DISK_SECONDS, lambda: self._written(incarnation))
@@ -284,7 +284,7 @@
         )
 
     def _drained(self) -> None:
-        """Stop a little later, as the process does: late requests are refused meanwhile."""
+        """Stop after the grace period, in which late requests are refused as in a real node."""
         incarnation = self.incarnation
         self._world.network.after(DRAIN_GRACE_SECONDS, lambda: self._stop_drained(incarnation))
 
@@ -300,7 +300,7 @@
     # Callers
 
     def ask(self, request_id: str, event: object) -> simpy.Event:
-        """Send a caller's or operator's request; the event's value is the reply."""
+        """Send a request of a caller or operator; the returned event's value is the reply."""
         answer = self._world.env.event()
         self._world.network.after(
             self._world.network.client_latency(), lambda: self._take(request_id, event, answer)
@@ -324,5 +324,5 @@
         self._world.network.after(delay, lambda: answer.succeed(value))
 
     def hang_up(self, request_id: str) -> None:
-        """The caller closes its connection."""
+        """Close the caller's connection."""
         self._waiting.pop(request_id, None)
--- a/yarrowwall/standalone/simulation/observer.py
+++ b/yarrowwall/standalone/simulation/observer.py
@@ -1,8 +1,8 @@
-"""The observer: checks the ten promises from outside of the core.
+"""Checks the scheduler's invariants independently of the core.
 
-It is told what callers sent and got, what engines were asked and ran, what
-operators were told, and which configuration a node has in force. It trusts
-nothing that the core counts itself.
+The observer records the requests and replies of callers, the requests and runs of engines, the
+replies to operators and the configuration that each node has in force. It uses none of the
+core's own counters.
 """
 
 from collections import Counter
@@ -22,14 +22,14 @@
     from yarrowwall.standalone.simulation.backends import SimulatedEngine
     from yarrowwall.standalone.simulation.nodes import SimulatedNode
 
-#: Seconds after which a leaving engine must get nothing new.
+#: Time after which a leaving engine must not get new requests.
 LEAVING_SECONDS = 3.0
-#: Seconds within which an accepted configuration is in force everywhere.
+#: Time within which an accepted configuration must be in force on all nodes.
 CONFIGURATION_SECONDS = 5.0
 
 
 class Invariant(StrEnum):
-    """The ten points of "what must always hold"."""
+    """Invariants that are checked in every run."""
 
     ORDER = "order"
     HISTORY = "history"
@@ -46,11 +46,12 @@
 
 @dataclass
 class WatchedCall:
-    """What is known of one call from outside.
+    """Observed state of a call.
 
-    :ivar sent: messages the caller sent with it.
-    :ivar open_requests: request ids without a final answer.
-    :ivar texts: answers of finished engine runs, by attempt.
+    :ivar sent: Messages that the caller sent with it.
+    :ivar open_requests: Request ids without a final answer.
+    :ivar starts: Number of runs that engines started.
+    :ivar texts: Answers of finished engine runs by attempt.
     """
 
     sent: list[ChatMessage]
@@ -64,7 +65,7 @@
 
 @dataclass
 class WatchedProgram:
-    """What is known of one program from outside."""
+    """Observed state of a program."""
 
     budget: int
     parent: str | None
@@ -75,7 +76,7 @@
 
 
 class Observer:
-    """Collects violations and counts how often each promise was checked."""
+    """Collects violations and counts the checks of each invariant."""
 
     def __init__(self, clock: simpy.Environment) -> None:
         self._clock = clock
@@ -96,16 +97,16 @@
     # Bookkeeping
 
     def trace(self, *parts: object) -> None:
-        """Put an event into the digest of the run."""
+        """Add an event to the digest of the run."""
         line = "|".join(str(part) for part in parts)
         self._trace.update(f"{self._clock.now:.6f}|{line}\n".encode())
 
     def trace_digest(self) -> str:
-        """Return the digest of everything seen."""
+        """Return the digest of all traced events."""
         return self._trace.hexdigest()
 
     def check(self, promise: Invariant, holds: bool, message: str) -> None:
-        """Count one evaluation of an invariant; note a violation."""
+        """Count a check of an invariant and record a violation if it doesn't hold."""
         self.checks[promise] += 1
         if not holds:
             self.violations.append(f"{promise} at {self._clock.now:.3f}: {message}")
@@ -113,7 +114,7 @@
     # Callers
 
     def program_opened(self, program_id: str, budget: int, parent: str | None) -> None:
-        """A caller was told that its program is open."""
+        """Record that a caller's program was opened."""
         self.programs.setdefault(program_id, WatchedProgram(budget, parent))
         self.trace("opened", program_id)
 
@@ -125,7 +126,7 @@
         sent: list[ChatMessage],
         repeatable: bool,
     ) -> None:
-        """A caller sends a request for a call."""
+        """Record that a caller sends a request for a call."""
         program = self.programs[program_id]
         call = program.calls.setdefault(number, WatchedCall(sent, repeatable))
         call.open_requests.add(request_id)
@@ -133,7 +134,7 @@
         self.trace("call", program_id, number, request_id)
 
     def call_answered(self, program_id: str, number: int, request_id: str, reply: object) -> None:
-        """A caller got the final answer of a request."""
+        """Record and check the reply to a caller's request."""
         call = self.programs[program_id].calls[number]
         may_still_run = isinstance(reply, ErrorReply) and _may_still_run(reply)
         if not may_still_run:
@@ -161,7 +162,7 @@
         self, program_id: str, number: int, call: WatchedCall, reply: ErrorReply
     ) -> None:
         if reply.error_type in (ErrorType.NOT_RUN, ErrorType.BUDGET_EXHAUSTED):
-            # Another copy of the call that is still open may have run it.
+            # Another open request for the same call may have run it.
             holds = call.starts == 0 or bool(call.open_requests) or call.answer is not None
             self.check(Invariant.NOT_RUN, holds, f"{program_id}/{number} was refused but ran")
             call.is_refused = not call.open_requests
@@ -169,13 +170,13 @@
                 self._check_not_passed(program_id, number)
 
     def _check_not_passed(self, program_id: str, number: int) -> None:
-        """A call that may still be made must not have been passed by a later one."""
+        """Check that no later call has started before a refused call, which may be retried."""
         last_started = self.programs[program_id].last_started
         message = f"call {last_started} of {program_id} ran, call {number} was refused"
         self.check(Invariant.ORDER, last_started <= number, message)
 
     def program_ended(self, program_id: str) -> None:
-        """A caller was told that its program has ended."""
+        """Record that a caller's program has ended."""
         program = self.programs.get(program_id)
         if program is not None and program.ended_at is None:
             program.ended_at = self._clock.now
@@ -184,7 +185,7 @@
     # Engines
 
     def engine_asked(self, engine: "SimulatedEngine", effect: StartAttempt, started: bool) -> None:
-        """An engine got a new request."""
+        """Record and check a new request to an engine."""
         key = effect.key
         name = f"{key.program_id}/{key.call_number}"
         self.trace("asked", engine.engine_id, key, started)
@@ -204,7 +205,7 @@
         self._check_history(program, key.call_number, list(effect.prompt), name)
 
     def _check_order(self, program: WatchedProgram, number: int, name: str) -> None:
-        """No call starts after a later one has; an earlier one may have been lost unstarted."""
+        """Check that no later call has started; earlier ones may be lost without a start."""
         in_order = number >= program.last_started
         self.check(Invariant.ORDER, in_order, f"{name} ran after call {program.last_started}")
         program.last_started = max(program.last_started, number)
@@ -212,7 +213,7 @@
     def _check_history(
         self, program: WatchedProgram, number: int, prompt: list[ChatMessage], name: str
     ) -> None:
-        """The prompt is the program's own messages and answers in order, nothing else."""
+        """Check that the prompt is exactly the program's messages and answers in order."""
         position = 0
         for earlier in range(1, number + 1):
             call = program.calls.get(earlier)
@@ -229,7 +230,7 @@
     def _check_recorded_answer(
         self, call: WatchedCall, prompt: list[ChatMessage], position: int, name: str, earlier: int
     ) -> int:
-        """Return how many messages the recorded answer of a call takes in the prompt."""
+        """Check a call's answer in the prompt; return 1 if the prompt has one, else 0."""
         found = prompt[position] if position < len(prompt) else None
         recorded = found is not None and found.role == "assistant"
         if call.answer is not None:
@@ -241,7 +242,7 @@
         return 1 if recorded else 0
 
     def engine_computed(self, engine_id: str, progress: Progress) -> None:
-        """An engine has prefilled a prompt; count what had been computed before."""
+        """Count the tokens of a prefill that some engine had computed before."""
         self.prompt_tokens += progress.prompt_tokens()
         for block in progress.computed:
             if block.key in self._computed_blocks:
@@ -249,7 +250,7 @@
         self._computed_blocks.update(block.key for block in progress.request.prompt)
 
     def engine_finished(self, engine_id: str, progress: Progress) -> None:
-        """An engine has finished a run."""
+        """Record a finished run and charge it to the program's budget."""
         request = progress.request
         self.trace("finished", engine_id, request.request_id)
         program = self.programs.get(request.program_id)
@@ -269,11 +270,11 @@
             program_id = program.parent
 
     def engine_crashed(self, engine_id: str) -> None:
-        """An engine lost its memory; what it had cached is not wasted by anybody."""
+        """Record that an engine lost its memory."""
         self.trace("crashed", engine_id)
 
     def engine_ordered(self, engine_id: str, term: int, accepted: bool) -> None:
-        """A controller's order reached an engine."""
+        """Check that an engine accepts no order with a lower term than an earlier one."""
         highest = self._highest_terms.get(engine_id, 0)
         self.check(
             Invariant.CONFIGURATION,
@@ -285,19 +286,19 @@
     # Configuration and nodes
 
     def configuration_accepted(self, version: int) -> None:
-        """An operator was told that a version is accepted."""
+        """Record that a configuration was accepted for an operator."""
         self.trace("accepted", version)
         self._accepted_version = max(self._accepted_version, version)
         self._accepted.append((self._clock.now, version))
 
     def node_started(self, node_id: str) -> None:
-        """A process starts; it must not serve older versions than were accepted before."""
+        """Record a process start; it must not serve versions older than the accepted one."""
         self.trace("started", node_id)
         self._floor_at_start[node_id] = self._accepted_version
         self._versions[node_id] = 0
 
     def configuration_in_force(self, node: "SimulatedNode", version: int) -> None:
-        """A node has handled an event with a version in force."""
+        """Check the configuration version in force after a node has handled an event."""
         known = self._versions.get(node.node_id, 0)
         if version != known:
             self.check(
@@ -311,7 +312,7 @@
             self.check(Invariant.CONFIGURATION, version >= floor, message)
 
     def check_versions(self, nodes: list["SimulatedNode"], healthy_since: float) -> None:
-        """Every live node has every version that was accepted long enough ago."""
+        """Check that all live nodes have the versions accepted ``CONFIGURATION_SECONDS`` ago."""
         now = self._clock.now
         due = [
             version
@@ -327,7 +328,7 @@
                 self.check(Invariant.CONFIGURATION, version >= max(due), message)
 
     def node_drained(self, node_id: str, open_requests: int) -> None:
-        """A process ends after a planned stop."""
+        """Check that a planned stop leaves no open requests."""
         self.trace("drained", node_id)
         self.check(
             Invariant.PLANNED_STOP,
@@ -336,7 +337,7 @@
         )
 
     def check_released(self, held_by_engine: dict[str, list[str]]) -> None:
-        """No engine holds anything for an ended program."""
+        """Check that no engine holds cache for an ended program."""
         for engine_id, held in held_by_engine.items():
             ended = [name for name in held if self._has_ended(name)]
             message = f"{engine_id} holds cache of ended programs {ended[:3]}"
@@ -347,11 +348,11 @@
         return program is not None and program.ended_at is not None
 
     def check_nothing_held(self, held_by_engine: dict[str, list[str]]) -> None:
-        """Long after the last call nothing is held for anybody."""
+        """Check that engines hold no cache long after the last call."""
         for engine_id, held in held_by_engine.items():
             self.check(Invariant.RELEASED, not held, f"{engine_id} still holds {held[:3]}")
 
 
 def _may_still_run(reply: ErrorReply) -> bool:
-    """Return whether the gateway gave up on a request that its owner may still have."""
+    """Return whether the gateway gave up on a request that its owner may still run."""
     return reply.error_type is ErrorType.OUTCOME_UNKNOWN and bool(reply.retry_after)
--- a/yarrowwall/standalone/simulation/report.py
+++ b/yarrowwall/standalone/simulation/report.py
@@ -1,4 +1,4 @@
-"""The result of a run, as one JSON object."""
+"""Report of a simulation run as a JSON object."""
 
 import json
 import math
@@ -9,7 +9,7 @@
 
 
 class Percentiles(BaseModel):
-    """Latencies in seconds; None without a measurement."""
+    """Latency percentiles in seconds; None without measurements."""
 
     p50: float | None
     p95: float | None
@@ -17,7 +17,7 @@
 
 
 class RunReport(BaseModel):
-    """What one run measured."""
+    """Measurements of one run."""
 
     deployment: str
     seed: int
@@ -36,12 +36,12 @@
     trace_digest: str
 
     def text(self) -> str:
-        """Return the report as JSON whose bytes depend on nothing but the run."""
+        """Return the report as JSON that is byte-identical for identical runs."""
         return json.dumps(self.model_dump(), indent=2, sort_keys=True)
 
 
 def percentile(values: list[float], fraction: float) -> float | None:
-    """Return the nearest-rank percentile."""
+    """Return the nearest-rank percentile, rounded to microseconds; None without values."""
     if not values:
         return None
     ordered = sorted(values)
@@ -49,14 +49,14 @@
 
 
 def percentiles(values: list[float]) -> Percentiles:
-    """Return the percentiles the users ask for."""
+    """Return the reported percentiles of latencies."""
     return Percentiles(
         p50=percentile(values, 0.5), p95=percentile(values, 0.95), p99=percentile(values, 0.99)
     )
 
 
 def make_report(world: World) -> RunReport:
-    """Return the report of a run that has ended."""
+    """Return the report of a finished run."""
     observer = world.observer
     latencies = world.latencies
     prompt_tokens = max(1, observer.prompt_tokens)
--- a/yarrowwall/standalone/simulation/workloads.py
+++ b/yarrowwall/standalone/simulation/workloads.py
@@ -1,4 +1,4 @@
-"""Workloads of the two deployments: programs of unknown shape, made from one seed."""
+"""Workloads of the two deployments, generated from a seed."""
 
 from dataclasses import dataclass
 from random import Random
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True)
 class CallStep:
-    """One call: new prompt tokens in, at most so many out."""
+    """A call with its new prompt tokens and its maximum answer length."""
 
     new_tokens: int
     max_tokens: int
@@ -24,14 +24,14 @@
 
 @dataclass(frozen=True)
 class ToolStep:
-    """A pause while a tool works, seconds."""
+    """A pause in seconds while a tool runs."""
 
     seconds: float
 
 
 @dataclass(frozen=True)
 class ChildStep:
-    """A sub-agent that runs to its end before the program goes on."""
+    """A child program that finishes before its parent continues."""
 
     plan: "ProgramPlan"
 
@@ -41,10 +41,10 @@
 
 @dataclass(frozen=True)
 class ProgramPlan:
-    """What one program will do; the system learns it step by step.
+    """Steps of a program, which the scheduler doesn't know in advance.
 
-    :param system_tokens: length of the desk's system prompt, shared by its programs.
-    :param ends: whether the caller ends the program or just goes away.
+    :param system_tokens: Length of the desk's system prompt, shared by its programs.
+    :param ends: Whether the caller ends the program.
     """
 
     desk: str
@@ -53,15 +53,15 @@
     ends: bool = True
 
     def calls(self) -> list[CallStep]:
-        """Return the program's own calls."""
+        """Return the program's calls without those of its children."""
         return [step for step in self.steps if isinstance(step, CallStep)]
 
     def is_urgent(self) -> bool:
-        """Return whether the program's calls are urgent."""
+        """Return whether any call of the program is urgent."""
         return any(call.priority is Priority.URGENT for call in self.calls())
 
     def budget(self) -> int:
-        """Return a budget that covers the program, its children included."""
+        """Return a token budget that covers the program and its children."""
         history = self.system_tokens
         total = 0
         for step in self.steps:
@@ -74,7 +74,7 @@
 
 
 def message_text(tokens: int, *name: str) -> str:
-    """Return a text of so many tokens that no other name gives."""
+    """Return a text with a number of tokens that is unique to a name."""
     pattern = digest(*name) + " "
     length = tokens * BYTES_PER_TOKEN
     return (pattern * (length // len(pattern) + 1))[:length]
@@ -132,7 +132,7 @@
 
 
 def make_plan(deployment: Deployment, random: Random) -> ProgramPlan:
-    """Return the next program of a deployment."""
+    """Generate a program of a deployment."""
     draw = random.random()
     if deployment.name == "nairobi":
         return _property_check(random) if draw < 0.6 else _investigation(random)
@@ -142,12 +142,12 @@
 
 
 def engine_seconds(plan: ProgramPlan, engine: EngineParameters) -> float:
-    """Estimate how long a program keeps one engine busy, with a perfect prefix cache."""
+    """Estimate a program's share of engine time in seconds with a perfect prefix cache."""
     step = engine.decode_base_seconds + engine.decode_sequence_seconds * engine.max_batch
     decode_rate = engine.max_batch / step
     calls = plan.calls()
     decode = sum(0.75 * call.max_tokens for call in calls) / decode_rate
-    # While a prompt is prefilled, decoding only slows down.
+    # Decoding continues more slowly during a prefill, so only the lost share counts.
     lost_share = 1.0 - DECODE_SHARE_DURING_PREFILL
     new_tokens = sum(call.new_tokens for call in calls)
     prefill = lost_share * new_tokens / engine.prefill_tokens_per_second
@@ -159,9 +159,10 @@
 
 @dataclass(frozen=True)
 class Arrival:
-    """A program and when and where it starts.
+    """Start of a program.
 
-    :param zone_index: zone whose gateways the caller uses first.
+    :param at: Seconds after the start of the run.
+    :param zone_index: Zone whose gateways the caller uses first.
     """
 
     at: float
@@ -172,12 +173,12 @@
 def make_arrivals(
     deployment: Deployment, random: Random, programs: int, load: float
 ) -> list[Arrival]:
-    """Return the programs of a run.
+    """Generate the programs of a run.
 
-    Demand moves round the zones once in the run, as the day does round the
-    globe, and comes in bursts.
+    The busiest zone changes over the run, each zone once, as demand follows the time of day.
+    A part of the programs arrives in bursts.
 
-    :param load: fraction of the engines' capacity.
+    :param load: Fraction of the engines' capacity.
     """
     plans = [make_plan(deployment, random) for _ in range(programs)]
     work = sum(engine_seconds(plan, deployment.engine) for plan in plans)
@@ -193,7 +194,7 @@
 
 
 def _arrival_time(random: Random, duration: float) -> float:
-    """Spread arrivals evenly but for one in five, which come in two bursts."""
+    """Return a random arrival time; one in five is in one of two bursts, the rest is uniform."""
     if random.random() < 0.2:
         centre = random.choice((0.3, 0.7))
         return duration * (centre + 0.02 * random.random())
--- a/yarrowwall/standalone/simulation/world.py
+++ b/yarrowwall/standalone/simulation/world.py
@@ -43,16 +43,16 @@
 from yarrowwall.standalone.simulation.observer import Invariant, Observer
 from yarrowwall.standalone.simulation.workloads import MODEL, make_arrivals
 
-#: The clock does not start at nought, so that no time is mistaken for "never".
+#: The clock doesn't start at 0, so that no time is taken for an unset one.
 CLOCK_START = 1000.0
 WARM_UP_SECONDS = 5.0
-#: Time limits of a run, shorter than a product's so that a run sees them.
+#: Time limits of a run, shorter than in production so that runs reach them.
 SIMULATED_LIMITS = replace(
     Limits(), idle_limit=90.0, request_deadline=60.0, unload_after=20.0, sweep_interval=5.0
 )
-#: After the last fault and caller: idle programs end, everything held is released.
+#: Time after the last fault and caller in which idle programs end and holds are released.
 QUIET_SECONDS = 2.5 * SIMULATED_LIMITS.idle_limit
-#: A run that lasts longer than its arrivals and this has lost something.
+#: A run fails if programs haven't finished this long after the arrivals.
 LIVENESS_SECONDS = 900.0
 MACHINE_LIST_LAG_SECONDS = 1.0
 SNAPSHOT_SECONDS = 0.5
@@ -61,13 +61,14 @@
 
 @dataclass(frozen=True)
 class RunSettings:
-    """What one run does.
+    """Settings of a simulation run.
 
-    :param load: fraction of the engines' capacity.
-    :param faults: kinds of faults that may come.
-    :param schedule: exact faults instead of generated ones.
-    :param fault_gap: mean seconds between generated faults.
-    :param odd_share: share of callers that go away, loop or hang.
+    :param load: Fraction of the engines' capacity.
+    :param faults: Kinds of generated faults.
+    :param schedule: Exact faults that replace the generated ones.
+    :param fault_gap: Mean seconds between generated faults.
+    :param odd_share: Fraction of callers that don't behave normally; see ``callers.Behaviour``.
+    :param core_class: Node core to test; mutants replace it.
     """
 
     deployment: Deployment
@@ -84,13 +85,13 @@
 
 
 class World:
-    """Everything in one run."""
+    """A simulated deployment and its run."""
 
     def __init__(self, settings: RunSettings) -> None:
         self.settings = settings
         self.env = simpy.Environment(initial_time=CLOCK_START)
         deployment = settings.deployment
-        # One generator a concern: the workload is the same under every policy.
+        # Separate generators per concern keep the workload identical under every policy.
         self._workload_random = Random(f"workload/{settings.seed}")
         self._random = Random(f"world/{settings.seed}")
         self.observer = Observer(self.env)
@@ -203,7 +204,7 @@
         self.platform.set_object(MACHINES, self._machine_list().model_dump_json().encode())
 
     def _announce_machines_later(self) -> None:
-        """The platform's list lags behind what happened."""
+        """Update the platform's machine list with a delay, as the real list lags behind."""
         self.network.after(MACHINE_LIST_LAG_SECONDS, self._announce_machines)
 
     def _replace_replica(self, old_id: str, new_id: str, node: SimulatedNode) -> None:
@@ -213,7 +214,7 @@
         self.env.process(operator.insist(command))
 
     def _check_shard_map(self) -> None:
-        """Every replica that was put in place of another one has taken it over."""
+        """Check that every replacement of a replica has been completed."""
         document = self.platform.model.read(SHARD_MAP)
         shard_map = ShardMap.model_validate_json(document.body) if document else ShardMap()
         ids = [replica.replica_id for replica in shard_map.replicas]
@@ -229,7 +230,7 @@
     # The run
 
     def run(self) -> None:
-        """Run to the end and make the last checks."""
+        """Run to the end and make the final checks."""
         self._announce_machines()
         self._publish_configuration()
         for node in self.nodes.values():
