--- a/features/soak/run.py
+++ b/features/soak/run.py
@@ -36,7 +36,7 @@
     served: int
     outcomes: dict[int, int]
     faults: dict[str, int]
-    final_faults: list[dict[str, Any]]
+    finals: list[dict[str, Any]]
     late_s: float
 
 
