--- a/yarrowwall/standalone/runtime/bodies.py
+++ b/yarrowwall/standalone/runtime/bodies.py
@@ -10,7 +10,7 @@
 Body = TypeVar("Body", bound=BaseModel)
 
 #: Maximum size of a request body.
-MOST_BODY_BYTES = 8 * 1024 * 1024
+MAX_BODY_BYTES = 8 * 1024 * 1024
 
 
 class _Body(BaseModel):
--- a/yarrowwall/standalone/runtime/engine_client.py
+++ b/yarrowwall/standalone/runtime/engine_client.py
@@ -33,7 +33,7 @@
 STREAM_SILENCE_SECONDS = 30.0
 CONNECT_SECONDS = 2.0
 POLL_INTERVAL_SECONDS = 0.5
-MOST_CONNECTIONS_PER_ENGINE = 256
+MAX_CONNECTIONS_PER_ENGINE = 256
 
 _log = logbook.Logger(__name__)
 _TIMEOUT = urllib3.Timeout(connect=CONNECT_SECONDS, read=STREAM_SILENCE_SECONDS)
@@ -50,7 +50,7 @@
         self._node = node
         self._streams = streams
         self._pool = urllib3.PoolManager(
-            num_pools=64, maxsize=MOST_CONNECTIONS_PER_ENGINE, retries=False, timeout=_TIMEOUT
+            num_pools=64, maxsize=MAX_CONNECTIONS_PER_ENGINE, retries=False, timeout=_TIMEOUT
         )
         self._pollers: dict[str, eventlet.greenthread.GreenThread] = {}
 
--- a/yarrowwall/standalone/runtime/exchange.py
+++ b/yarrowwall/standalone/runtime/exchange.py
@@ -8,7 +8,7 @@
 
 from yarrowwall.messages.entries import Priority
 from yarrowwall.messages.requests import ErrorReply, ErrorType
-from yarrowwall.standalone.runtime.bodies import MOST_BODY_BYTES
+from yarrowwall.standalone.runtime.bodies import MAX_BODY_BYTES
 from yarrowwall.standalone.runtime.exceptions import InvalidRequestError
 
 #: Time limit in seconds for receiving a request body.
@@ -52,8 +52,8 @@
         if not text.isdigit():
             raise InvalidRequestError("Content-Length must be a number")
         length = int(text)
-        if length > MOST_BODY_BYTES:
-            raise InvalidRequestError(f"the body exceeds {MOST_BODY_BYTES} bytes", _TOO_LARGE)
+        if length > MAX_BODY_BYTES:
+            raise InvalidRequestError(f"the body exceeds {MAX_BODY_BYTES} bytes", _TOO_LARGE)
         try:
             with eventlet.Timeout(BODY_SECONDS):
                 data = self._environ["wsgi.input"].read(length)
--- a/yarrowwall/standalone/runtime/peers.py
+++ b/yarrowwall/standalone/runtime/peers.py
@@ -22,9 +22,9 @@
 from yarrowwall.standalone.runtime.exceptions import FrameError
 
 #: Maximum frame length; a longer frame closes the connection.
-MOST_FRAME_BYTES = 64 * 1024 * 1024
+MAX_FRAME_BYTES = 64 * 1024 * 1024
 #: Maximum number of queued messages per peer; the oldest are dropped when it is full.
-MOST_QUEUED = 20_000
+MAX_QUEUED_FRAMES = 20_000
 #: Queued frames are joined into one write until it has at least this many bytes.
 WRITE_BYTES = 256 * 1024
 #: Seconds between attempts to connect to a peer.
@@ -52,7 +52,7 @@
 
     def __init__(self, address: str) -> None:
         self.address = address
-        self._queue: deque[bytes] = deque(maxlen=MOST_QUEUED)
+        self._queue: deque[bytes] = deque(maxlen=MAX_QUEUED_FRAMES)
         self._wakeup = Event()
         self._worker = eventlet.spawn(self._run)
 
@@ -179,7 +179,7 @@
     @staticmethod
     def _read_frame(stream: BinaryIO, header: bytes) -> tuple[str, object]:
         length, name_length = _LENGTH.unpack(header)
-        if length > MOST_FRAME_BYTES or name_length > length:
+        if length > MAX_FRAME_BYTES or name_length > length:
             raise FrameError(f"invalid frame of {length} bytes")
         data = stream.read(length)
         if len(data) < length:
--- a/yarrowwall/standalone/runtime/service.py
+++ b/yarrowwall/standalone/runtime/service.py
@@ -55,7 +55,7 @@
 #: The journal is compacted at startup if it has more segment files than this.
 SEGMENTS_KEPT = 4
 #: Maximum number of concurrent HTTP connections.
-MOST_HTTP_CONNECTIONS = 10_000
+MAX_HTTP_CONNECTIONS = 10_000
 #: Seconds between the end of a drain and the exit, for the HTTP server's last responses.
 DRAIN_GRACE_SECONDS = 0.3
 
@@ -150,7 +150,7 @@
             self._http_listener,
             HttpApi(self),
             log_output=False,
-            max_size=MOST_HTTP_CONNECTIONS,
+            max_size=MAX_HTTP_CONNECTIONS,
             socket_timeout=None,
             keepalive=True,
         )
--- a/yarrowwall/standalone/simulation/backends.py
+++ b/yarrowwall/standalone/simulation/backends.py
@@ -99,7 +99,7 @@
         self.model = EngineModel(parameters, models, env.now)
         self.is_up = True
         self._connections: dict[str, list[_Connection]] = {}
-        self._armed: float | None = None
+        self._timer_at: float | None = None
         self._reports: deque[tuple[float, LoadReport]] = deque()
 
     # The model's time
@@ -109,20 +109,20 @@
         for output in self.model.advance(self._env.now):
             self._handle_output(output)
 
-    def _arm(self) -> None:
+    def _set_timer(self) -> None:
         at = self.model.next_event()
-        if at is None or (self._armed is not None and self._armed <= at):
+        if at is None or (self._timer_at is not None and self._timer_at <= at):
             return
-        self._armed = at
+        self._timer_at = at
         model = self.model
         self._network.after(max(0.0, at - self._env.now), lambda: self._wake(model, at))
 
     def _wake(self, model: EngineModel, at: float) -> None:
-        if model is not self.model or self._armed != at:
+        if model is not self.model or self._timer_at != at:
             return
-        self._armed = None
+        self._timer_at = None
         self._run()
-        self._arm()
+        self._set_timer()
 
     def _handle_output(self, output: EngineOutput) -> None:
         progress = output.progress
@@ -177,7 +177,7 @@
             self._resume(connection, effect, delay)
         else:
             self._submit(connection, effect, delay)
-        self._arm()
+        self._set_timer()
 
     def _submit(self, connection: _Connection, effect: StartAttempt, delay: float) -> None:
         request = EngineRequest(
@@ -219,7 +219,7 @@
         if self.is_up:
             self._run()
             action()
-            self._arm()
+            self._set_timer()
 
     def _answer(self, node: "SimulatedNode", event: object) -> None:
         connection = _Connection(node, node.incarnation)
@@ -262,7 +262,7 @@
         if not self.is_up:
             return
         self._run()
-        self._arm()
+        self._set_timer()
         self._reports.append((self._env.now, self.model.load()))
         while len(self._reports) > 1 and self._reports[1][0] <= self._env.now - REPORT_LAG_SECONDS:
             self._reports.popleft()
@@ -315,7 +315,7 @@
         """Restart with empty memory; the leaving state persists."""
         self.model = EngineModel(self._parameters, self._models, self._env.now)
         self.model.is_leaving = self.leaving_at is not None
-        self._armed = None
+        self._timer_at = None
         self.is_up = True
 
     def leave(self) -> None:
@@ -428,20 +428,20 @@
         self._watchers.pop(node.node_id, None)
         if enabled:
             self._watchers[node.node_id] = node
-            self.tell_all(node)
+            self.send_all_objects(node)
 
-    def tell_all(self, node: "SimulatedNode") -> None:
+    def send_all_objects(self, node: "SimulatedNode") -> None:
         """Send all objects to a watcher, as after a reconnect."""
         if self.is_down:
             return
         for document in self.model.objects():
             self._answer(node, PlatformDocument(document), self._round_trip())
 
-    def come_back(self) -> None:
+    def end_outage(self) -> None:
         """End an outage and reconnect the watchers."""
         self.is_down = False
         for node in list(self._watchers.values()):
-            self.tell_all(node)
+            self.send_all_objects(node)
 
     def forget(self, node_id: str) -> None:
         """Remove the watch of a stopped node."""
--- a/yarrowwall/standalone/simulation/callers.py
+++ b/yarrowwall/standalone/simulation/callers.py
@@ -49,10 +49,10 @@
 )
 
 #: Time after which a caller closes its connection and retries, possibly at another gateway.
-PATIENCE_SECONDS = 90.0
+REQUEST_TIMEOUT_SECONDS = 90.0
 RETRY_SECONDS = 0.5
 #: Maximum number of requests for one call.
-MOST_TRIES = 400
+MAX_TRIES = 400
 
 Process = Generator[simpy.Event, Any, Any]
 
@@ -129,7 +129,7 @@
         """Send a request once; the value is its reply or :class:`BrokenConnection`."""
         gateway = self._gateway(tries)
         answer = gateway.ask(request_id, CallerRequest(request_id, request))
-        timeout = self._world.env.timeout(PATIENCE_SECONDS)
+        timeout = self._world.env.timeout(REQUEST_TIMEOUT_SECONDS)
         yield answer | timeout
         if answer.triggered and answer.processed:
             return answer.value
@@ -141,9 +141,9 @@
         self._requests += 1
         return f"{self._name}#{self._requests}"
 
-    def _insist(self, request: Request) -> Process:
+    def _ask_until_final(self, request: Request) -> Process:
         """Retry a request until it has a final reply."""
-        for tries in range(MOST_TRIES):
+        for tries in range(MAX_TRIES):
             reply = yield from self._ask(request, tries, self._next_request_id())
             wait = _wait_before_retry(reply)
             if wait is None:
@@ -174,13 +174,13 @@
         self._program_id = make_program_id(self._zone, self._name.replace("/", "-"))
         budget = self._plan.budget()
         request = OpenProgram(self._program_id, "tenant", self._plan.desk, budget, self._parent)
-        reply = yield from self._insist(request)
+        reply = yield from self._ask_until_final(request)
         if not isinstance(reply, ProgramReply):
             raise ProgramOver
         self._world.observer.program_opened(self._program_id, budget, self._parent)
 
     def _end(self) -> Process:
-        reply = yield from self._insist(EndProgram(self._program_id, EndReason.CALLER))
+        reply = yield from self._ask_until_final(EndProgram(self._program_id, EndReason.CALLER))
         if isinstance(reply, ProgramReply):
             self._world.observer.program_ended(self._program_id)
 
@@ -256,7 +256,7 @@
             "",
             0,
         )
-        for tries in range(MOST_TRIES):
+        for tries in range(MAX_TRIES):
             reply = yield from self._try_call(request, tries)
             wait = _wait_before_retry(reply)
             if wait is None:
@@ -300,7 +300,7 @@
     return None
 
 
-def look_up_for_ever(world: CallerWorld, rate: float, until: float) -> Process:
+def run_lookups(world: CallerWorld, rate: float, until: float) -> Process:
     """Make random lookups, one in five urgent, and check the answered records."""
     number = 0
     while world.env.now < until:
@@ -340,10 +340,10 @@
         request_id = f"{self._name}#{self._commands}"
         gateway = self._world.random.choice(self._world.nodes)
         answer = gateway.ask(request_id, OperatorRequest(request_id, command))  # type: ignore[arg-type]
-        yield answer | self._world.env.timeout(PATIENCE_SECONDS)
+        yield answer | self._world.env.timeout(REQUEST_TIMEOUT_SECONDS)
         return answer.value if answer.triggered and answer.processed else None
 
-    def insist(self, command: OperatorCommand) -> Process:
+    def retry_until_done(self, command: OperatorCommand) -> Process:
         """Retry a command until it is done."""
         while True:
             reply = yield from self._command(command)
--- a/yarrowwall/standalone/simulation/faults.py
+++ b/yarrowwall/standalone/simulation/faults.py
@@ -220,7 +220,7 @@
         platform = self._platform
         if kind is FaultKind.PLATFORM_DOWN:
             platform.is_down = True
-            return platform.come_back
+            return platform.end_outage
         if kind is FaultKind.PLATFORM_SLOW:
             platform.slow_seconds = 2.0
 
--- a/yarrowwall/standalone/simulation/nodes.py
+++ b/yarrowwall/standalone/simulation/nodes.py
@@ -73,7 +73,7 @@
 
 
 @dataclass(frozen=True)
-class Surroundings:
+class NodeWorld:
     """Objects and settings that all nodes share.
 
     :ivar nodes: All nodes by id.
@@ -100,7 +100,7 @@
 class SimulatedNode:
     """A machine and its node process."""
 
-    def __init__(self, node_id: str, zone: str, disk: Disk | None, world: Surroundings) -> None:
+    def __init__(self, node_id: str, zone: str, disk: Disk | None, world: NodeWorld) -> None:
         self.node_id = node_id
         self.zone = zone
         self.disk = disk
@@ -111,7 +111,7 @@
         self._inbox: list[object] = []
         self._waiting: dict[str, simpy.Event] = {}
         self._writes: deque[_Write] = deque()
-        self._armed: float | None = None
+        self._timer_at: float | None = None
         self._handlers = self._effect_handlers()
 
     # Life
@@ -143,7 +143,7 @@
         self.core = world.core_class(settings, policy, replica, world.env.now)
         self.is_frozen = False
         self._inbox = []
-        self._armed = None
+        self._timer_at = None
         world.observer.node_started(self.node_id)
         self.post(NodeStarted())
 
@@ -178,7 +178,7 @@
         for event in inbox:
             self.post(event)
         if self.core is not None:
-            self._armed = None
+            self._timer_at = None
             self.post(TimeAdvanced())
 
     def replace_disk(self, replica_id: str) -> None:
@@ -199,29 +199,29 @@
             self._inbox.append(event)
             return
         for effect in self.core.handle(self._world.env.now, event):
-            self._carry(effect)
+            self._execute(effect)
         if self.core is not None:
             version = self.core.documents.version(CONFIGURATION)
             self._world.observer.configuration_in_force(self, version)
-            self._arm()
+            self._set_timer()
 
-    def _arm(self) -> None:
+    def _set_timer(self) -> None:
         assert self.core is not None
         deadline = self.core.next_deadline()
-        if deadline is None or (self._armed is not None and self._armed <= deadline):
+        if deadline is None or (self._timer_at is not None and self._timer_at <= deadline):
             return
-        self._armed = deadline
+        self._timer_at = deadline
         incarnation = self.incarnation
         delay = max(0.0, deadline - self._world.env.now)
         self._world.network.after(delay, lambda: self._wake(incarnation, deadline))
 
     def _wake(self, incarnation: int, deadline: float) -> None:
-        if incarnation != self.incarnation or self._armed != deadline or self.is_frozen:
+        if incarnation != self.incarnation or self._timer_at != deadline or self.is_frozen:
             return
-        self._armed = None
+        self._timer_at = None
         self.post(TimeAdvanced())
 
-    def _carry(self, effect: Effect) -> None:
+    def _execute(self, effect: Effect) -> None:
         self._handlers[type(effect)](effect)
 
     def _effect_handlers(self) -> dict:
--- a/yarrowwall/standalone/simulation/observer.py
+++ b/yarrowwall/standalone/simulation/observer.py
@@ -45,7 +45,7 @@
 
 
 @dataclass
-class WatchedCall:
+class ObservedCall:
     """Observed state of a call.
 
     :ivar sent: Messages that the caller sent with it.
@@ -64,12 +64,12 @@
 
 
 @dataclass
-class WatchedProgram:
+class ObservedProgram:
     """Observed state of a program."""
 
     budget: int
     parent: str | None
-    calls: dict[int, WatchedCall] = field(default_factory=dict)
+    calls: dict[int, ObservedCall] = field(default_factory=dict)
     last_started: int = 0
     spent: int = 0
     ended_at: float | None = None
@@ -82,7 +82,7 @@
         self._clock = clock
         self.violations: list[str] = []
         self.checks: Counter[str] = Counter()
-        self.programs: dict[str, WatchedProgram] = {}
+        self.programs: dict[str, ObservedProgram] = {}
         self.calls_completed = 0
         self.prompt_tokens = 0
         self.wasted_tokens = 0
@@ -115,7 +115,7 @@
 
     def program_opened(self, program_id: str, budget: int, parent: str | None) -> None:
         """Record that a caller's program was opened."""
-        self.programs.setdefault(program_id, WatchedProgram(budget, parent))
+        self.programs.setdefault(program_id, ObservedProgram(budget, parent))
         self.trace("opened", program_id)
 
     def call_made(
@@ -128,7 +128,7 @@
     ) -> None:
         """Record that a caller sends a request for a call."""
         program = self.programs[program_id]
-        call = program.calls.setdefault(number, WatchedCall(sent, repeatable))
+        call = program.calls.setdefault(number, ObservedCall(sent, repeatable))
         call.open_requests.add(request_id)
         call.is_refused = False
         self.trace("call", program_id, number, request_id)
@@ -146,7 +146,7 @@
             self._check_error(program_id, number, call, reply)
 
     def _check_answer(
-        self, program_id: str, number: int, call: WatchedCall, reply: CallReply
+        self, program_id: str, number: int, call: ObservedCall, reply: CallReply
     ) -> None:
         own = (reply.program_id, reply.call_number) == (program_id, number)
         whole = call.texts.get(reply.attempt) == reply.text
@@ -159,7 +159,7 @@
         call.answer = reply.text
 
     def _check_error(
-        self, program_id: str, number: int, call: WatchedCall, reply: ErrorReply
+        self, program_id: str, number: int, call: ObservedCall, reply: ErrorReply
     ) -> None:
         if reply.error_type in (ErrorType.NOT_RUN, ErrorType.BUDGET_EXHAUSTED):
             # Another open request for the same call may have run it.
@@ -204,14 +204,14 @@
         self._check_order(program, key.call_number, name)
         self._check_history(program, key.call_number, list(effect.prompt), name)
 
-    def _check_order(self, program: WatchedProgram, number: int, name: str) -> None:
+    def _check_order(self, program: ObservedProgram, number: int, name: str) -> None:
         """Check that no later call has started; earlier ones may be lost without a start."""
         in_order = number >= program.last_started
         self.check(Invariant.ORDER, in_order, f"{name} ran after call {program.last_started}")
         program.last_started = max(program.last_started, number)
 
     def _check_history(
-        self, program: WatchedProgram, number: int, prompt: list[ChatMessage], name: str
+        self, program: ObservedProgram, number: int, prompt: list[ChatMessage], name: str
     ) -> None:
         """Check that the prompt is exactly the program's messages and answers in order."""
         position = 0
@@ -228,7 +228,7 @@
         self.check(Invariant.HISTORY, not rest, f"{name} has {len(rest)} foreign messages")
 
     def _check_recorded_answer(
-        self, call: WatchedCall, prompt: list[ChatMessage], position: int, name: str, earlier: int
+        self, call: ObservedCall, prompt: list[ChatMessage], position: int, name: str, earlier: int
     ) -> int:
         """Check a call's answer in the prompt; return 1 if the prompt has one, else 0."""
         found = prompt[position] if position < len(prompt) else None
--- a/yarrowwall/standalone/simulation/world.py
+++ b/yarrowwall/standalone/simulation/world.py
@@ -33,13 +33,13 @@
     CallerWorld,
     Latency,
     OperatorCaller,
-    look_up_for_ever,
     run_arrivals,
+    run_lookups,
 )
 from yarrowwall.standalone.simulation.deployments import Deployment
 from yarrowwall.standalone.simulation.faults import Fault, FaultInjector, FaultKind, generate_faults
 from yarrowwall.standalone.simulation.network import Network
-from yarrowwall.standalone.simulation.nodes import Disk, SimulatedNode, Surroundings
+from yarrowwall.standalone.simulation.nodes import Disk, NodeWorld, SimulatedNode
 from yarrowwall.standalone.simulation.observer import Invariant, Observer
 from yarrowwall.standalone.simulation.workloads import MODEL, make_arrivals
 
@@ -152,18 +152,18 @@
         seeds = tuple(
             MemberRecord(name, zone, name, 0, 0, MemberStatus.LIVE) for name, zone, _ in names
         )
-        surroundings = self._surroundings(ShardMap(replicas=replicas), seeds)
+        node_world = self._node_world(ShardMap(replicas=replicas), seeds)
         for name, zone, number in names:
             disk = Disk(f"disk-{name}") if number == 0 else None
-            self.nodes[name] = SimulatedNode(name, zone, disk, surroundings)
+            self.nodes[name] = SimulatedNode(name, zone, disk, node_world)
 
-    def _surroundings(self, shard_map: ShardMap, seeds: tuple[MemberRecord, ...]) -> Surroundings:
+    def _node_world(self, shard_map: ShardMap, seeds: tuple[MemberRecord, ...]) -> NodeWorld:
         engine = self.settings.deployment.engine
         profile = EngineProfile(
             engine.prefill_tokens_per_second,
             engine.decode_base_seconds + engine.decode_sequence_seconds * engine.max_batch / 2,
         )
-        return Surroundings(
+        return NodeWorld(
             self.env,
             self.network,
             self._random,
@@ -211,7 +211,7 @@
         self._replacements.append(new_id)
         operator = OperatorCaller(self._caller_world(), f"replace-{new_id}")
         command = ReplaceReplica(old_id, new_id, node.node_id, node.zone)
-        self.env.process(operator.insist(command))
+        self.env.process(operator.retry_until_done(command))
 
     def _check_shard_map(self) -> None:
         """Check that every replacement of a replica has been completed."""
@@ -256,7 +256,7 @@
             ),
             self.env.process(self.injector.run(self._faults(span))),
         ]
-        self.env.process(look_up_for_ever(callers, LOOKUPS_PER_SECOND, until))
+        self.env.process(run_lookups(callers, LOOKUPS_PER_SECOND, until))
         if settings.with_operators:
             for name in ("operator-a", "operator-b"):
                 self.env.process(OperatorCaller(callers, name).run(until))
