--- a/features/steps/mixed_release_steps.py
+++ b/features/steps/mixed_release_steps.py
@@ -268,7 +268,7 @@
         "an answer cut short": encode(ANSWER)[:4],
     }
     forwarded = Forwarded(ForwardStatus.OK, body[what])
-    context.read = context.links.read(context.neighbour, forwarded)
+    context.read = context.links.unwrap_reply(context.neighbour, forwarded)
 
 
 @then("the request has no answer from it")
