--- a/features/soak/final.py
+++ b/features/soak/final.py
@@ -90,4 +90,4 @@
         with SlotPressure(self._world, self._record, kind.name) as pressure:
             pressure.wait_full(back_at + _FILL_S)
             returned = continuations.play(f"back-full-{kind.name}", turns, self._rng)
-        return FinalFaultResult(kind, returned, pressure.most_taken)
+        return FinalFaultResult(kind, returned, pressure.max_active_turns)
